--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -18,9 +18,9 @@
 
 import matplotlib
 
-from soak import DESK_FLAGS, ENGINE_FLAGS, Plan, Step, run_plan
-from tests.checker import CallSeen
-from tests.support import World
+from soak import DESK_FLAGS, ENGINE_FLAGS, FaultPlan, FaultStep, run_plan
+from tests.harness import DeploymentHarness
+from tests.invariants import CallRecord
 
 OBJECTIVES = {"lookup": 0.2, "order": 0.5, "completion": 1.5}  # seconds
 LOT_SAMPLES = 8
@@ -32,7 +32,7 @@
 class Day:
     """A day: the deployment's size, its length in seconds, and its faults."""
 
-    plan: Plan
+    plan: FaultPlan
     seconds: float
 
 
@@ -44,18 +44,18 @@
     """
     data = tomllib.loads(path.read_text())
     try:
-        steps = tuple(Step(**fault) for fault in data.get("faults", ()))
-        plan = Plan(0, data["entries"], data["engines"], data["desks"], steps)
+        steps = tuple(FaultStep(**fault) for fault in data.get("faults", ()))
+        plan = FaultPlan(0, data["entries"], data["engines"], data["desks"], steps)
         return Day(plan, float(data["seconds"]))
     except (KeyError, TypeError) as error:
         raise ValueError(f"day {path.name!r}: {error}") from error
 
 
-def measure_calls(calls: list[CallSeen]) -> dict[str, dict[str, float]]:
+def measure_calls(calls: list[CallRecord]) -> dict[str, dict[str, float]]:
     """Measures each kind of call.
 
     Example:
-        >>> call = CallSeen("mill", "lookup", "l", b"", 200, began=1.0, ended=1.1)
+        >>> call = CallRecord("mill", "lookup", "l", b"", 200, began=1.0, ended=1.1)
         >>> measure_calls([call])["lookup"]["served"]
         1
     """
@@ -82,7 +82,7 @@
     return values[min(len(values) - 1, int(quantile * len(values)))] if values else 0.0
 
 
-def draw(calls: list[CallSeen], day: Day, path: Path) -> None:
+def draw(calls: list[CallRecord], day: Day, path: Path) -> None:
     """Draws the calls served in each second, with the spans of the faults."""
     matplotlib.use("Agg")
     from matplotlib import pyplot
@@ -111,7 +111,7 @@
 def play_day(day: Day) -> dict[str, Any]:
     """Plays a day and gives its measures."""
     plan = day.plan
-    world = World(
+    harness = DeploymentHarness(
         engines=plan.engines,
         services=plan.desks,
         entries=0,
@@ -119,10 +119,10 @@
         service_flags=DESK_FLAGS,
     )
     started = time.monotonic()
-    with world:
-        problems, _ = run_plan(world, plan, seconds=day.seconds)
-        figures = world.store.call("GET", "/control/journal")
-    evidence = world.evidence
+    with harness:
+        problems, _ = run_plan(harness, plan, seconds=day.seconds)
+        figures = harness.store.call("GET", "/control/journal")
+    evidence = harness.evidence
     loads = len(evidence.list_entries("order"))
     draw(evidence.calls, day, RESULTS / "experiment.png")
     return {
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -23,7 +23,7 @@
 
 from buckthornstile.configuration import Rule
 from standins.deployment import Deployment, pack_keyed
-from standins.launch import BenchProcess
+from standins.process import ManagedProcess
 from standins.server import listen
 
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
@@ -130,7 +130,7 @@
 
 
 async def measure_cpu(
-    process: BenchProcess, work: Callable[[], Awaitable[LoadResult]]
+    process: ManagedProcess, work: Callable[[], Awaitable[LoadResult]]
 ) -> tuple[LoadResult, float]:
     """Runs a load, and gives the process's milliseconds a request."""
     before = read_cpu_seconds(process.process.pid)
@@ -190,7 +190,7 @@
     return received / (time.perf_counter() - started)
 
 
-async def measure_memory(entry: BenchProcess, key: str) -> float:
+async def measure_memory(entry: ManagedProcess, key: str) -> float:
     """Measures an entry's memory with many requests open, in MB."""
     head = (
         f"POST /slow HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {key}\r\n"
@@ -283,7 +283,7 @@
     parser.add_argument("--clients", type=int, default=1)
     arguments = parser.parse_args()
     with Deployment() as deployment:
-        client_address = f"{deployment.take_address()}:7410"
+        client_address = f"{deployment.allocate_address()}:7410"
         deployment.add_worker("desk", "bench-a", "desk", work_seconds=0.0005)
         deployment.add_worker("slow", "bench-a", "slow", work_seconds=SLOW_SECONDS)
         deployment.add_engine(
@@ -291,14 +291,14 @@
         )
         put_platform_route(deployment)
         deployment.add_entry("e1", "bench-a", client_address=client_address)
-        key, items = deployment.make_account("mill", maximum_open=2 * OPEN_REQUESTS)
+        key, items = deployment.create_account("mill", maximum_open=2 * OPEN_REQUESTS)
         deployment.change(
             *items,
             Rule(name="lookup", path="/lookup", service="desk", idempotent=True),
             Rule(name="slow", path="/slow", service="slow", idempotent=True),
             Rule(name="c", path="/v1/completions", service="models", idempotent=True),
         )
-        deployment.wait_ready()
+        deployment.wait_until_ready()
         figures = asyncio.run(
             measure(
                 deployment, key, client_address, arguments.requests, arguments.clients
--- a/benchmarks/tests/test_experiment.py
+++ b/benchmarks/tests/test_experiment.py
@@ -3,7 +3,7 @@
 import pytest
 
 from benchmarks.experiment import DEFAULT_DAY, measure_calls, read_day
-from tests.checker import CallSeen
+from tests.invariants import CallRecord
 
 
 def test_the_day_that_is_played_by_default_is_read():
@@ -28,7 +28,7 @@
 
 def test_calls_are_measured_by_kind():
     def see(status, seconds, verdict=""):
-        return CallSeen(
+        return CallRecord(
             "mill",
             "lookup",
             "l",
--- a/buckthornstile/api/_admission.py
+++ b/buckthornstile/api/_admission.py
@@ -30,23 +30,23 @@
     waiting: dict[RequestId, "asyncio.Future[None]"] = field(default_factory=dict)
 
 
-class Admission:
+class AdmissionController:
     """Bounds what runs at once and shares it among client accounts by weight.
 
     Args:
-        count_places: Gives the calls of a service that may run here at once.
+        get_concurrency_limit: Gives the calls of a service that may run here at once.
         clock: Gives the steady time in seconds.
         maximum_open: Calls that may be open or queued at once.
     """
 
     def __init__(
         self,
-        count_places: Callable[[ServiceName], int],
+        get_concurrency_limit: Callable[[ServiceName], int],
         clock: Callable[[], float],
         *,
         maximum_open: int,
     ) -> None:
-        self.count_places = count_places
+        self.get_concurrency_limit = get_concurrency_limit
         self.clock = clock
         self.maximum_open = maximum_open
         self.open = 0
@@ -79,7 +79,9 @@
         self._count(account)
         state = self._services.setdefault(service, _Service())
         try:
-            if not len(state.queue) and state.running < self.count_places(service):
+            if not len(state.queue) and state.running < self.get_concurrency_limit(
+                service
+            ):
                 state.running += 1
                 return
             await self._wait(
@@ -145,9 +147,9 @@
             state.queue.remove(item.request_id)
 
     def _pump(self, service: ServiceName, state: _Service) -> None:
-        while state.running < self.count_places(service):
+        while state.running < self.get_concurrency_limit(service):
             item = state.queue.pop(self.clock())
-            for expired in state.queue.take_expired():
+            for expired in state.queue.pop_expired():
                 _fail(state, expired, _make_late())
             if item is None:
                 return
--- a/buckthornstile/api/_callers.py
+++ b/buckthornstile/api/_caller_handlers.py
@@ -7,13 +7,19 @@
 from collections.abc import AsyncGenerator
 from dataclasses import dataclass
 
+from buckthornstile.api._deduplication import make_call_name
+from buckthornstile.api._dependencies import (
+    ApiDependencies,
+    Authorization,
+    authorize,
+    check_fresh,
+)
 from buckthornstile.api._generation import (
     GENERATION_PATH,
-    PlannedGeneration,
+    ParsedGeneration,
     find_model,
     parse_generation,
 )
-from buckthornstile.api._once import make_call_name
 from buckthornstile.api._requests import (
     JSON_TYPE,
     VERDICT_HEADER,
@@ -21,17 +27,16 @@
     check_idempotency_key,
     describe_error,
 )
-from buckthornstile.api._tools import ApiTools, Grant, authorize, check_fresh
 from buckthornstile.base import BuckthornstileError, RequestId, Verdict
-from buckthornstile.calls import (
+from buckthornstile.logs import log_event
+from buckthornstile.messages import (
     ClientRequest,
     Headers,
-    PlannedCall,
-    Reply,
-    StreamReply,
+    Response,
+    RoutedCall,
+    StreamingResponse,
 )
-from buckthornstile.logs import log_event
-from buckthornstile.platform import EventReader, encode_generation
+from buckthornstile.platform import UpstreamEventParser, encode_generation
 from buckthornstile.topology import RouteKind
 
 DIGEST_BYTES = 16
@@ -42,9 +47,9 @@
 @dataclass(frozen=True, slots=True)
 class _Call:
     request: ApiRequest
-    grant: Grant
-    planned: PlannedCall
-    generation: PlannedGeneration | None
+    authorization: Authorization
+    planned: RoutedCall
+    generation: ParsedGeneration | None
 
     @property
     def cost(self) -> float:
@@ -55,10 +60,10 @@
 class CallerHandlers:
     """Answers callers."""
 
-    def __init__(self, tools: ApiTools) -> None:
-        self.tools = tools
+    def __init__(self, dependencies: ApiDependencies) -> None:
+        self.dependencies = dependencies
 
-    async def handle(self, request: ApiRequest) -> Reply | StreamReply:
+    async def handle(self, request: ApiRequest) -> Response | StreamingResponse:
         """Answers a call on a path of a rule or open route.
 
         Raises:
@@ -68,10 +73,10 @@
         call = self._plan(request)
         if call.generation is not None and call.generation.body.stream:
             return await self._open_stream(call)
-        is_once = call.grant.route.kind is RouteKind.AT_MOST_ONCE
+        is_once = call.authorization.route.kind is RouteKind.AT_MOST_ONCE
         if is_once and request.idempotency_key:
-            return await self.tools.guard.run(
-                call.grant.account.name,
+            return await self.dependencies.deduplicator.run(
+                call.authorization.account.name,
                 request.idempotency_key,
                 lambda: self._run(call),
             )
@@ -79,14 +84,14 @@
 
     def _plan(self, request: ApiRequest) -> _Call:
         loop = asyncio.get_running_loop()
-        settings = self.tools.settings
+        settings = self.dependencies.settings
         timeout = request.read_timeout(settings.default_timeout, settings.max_timeout)
-        grant = authorize(self.tools, request)
+        authorization = authorize(self.dependencies, request)
         headers, generation = request.headers, None
         if request.path == GENERATION_PATH:
             value = request.read_json()
-            service = grant.route.services[0][0]
-            model = find_model(self.tools.view, service)
+            service = authorization.route.services[0][0]
+            model = find_model(self.dependencies.view, service)
             generation = parse_generation(value, model)
             headers += encode_generation(generation.generation)
         client_request = ClientRequest(
@@ -98,22 +103,24 @@
             headers=headers,
             body=request.body,
         )
-        planned = PlannedCall(
+        planned = RoutedCall(
             client_request,
-            grant.route,
-            grant.account.name,
+            authorization.route,
+            authorization.account.name,
             loop.time() + timeout,
             # The process may have been paused since the call was authorized.
-            check=lambda: check_fresh(self.tools),
+            check=lambda: check_fresh(self.dependencies),
         )
-        return _Call(request, grant, planned, generation)
+        return _Call(request, authorization, planned, generation)
 
     # Whole answers
 
-    async def _run(self, call: _Call) -> Reply:
-        return await self.tools.revocation.run(call.grant.key, self._run_admitted(call))
+    async def _run(self, call: _Call) -> Response:
+        return await self.dependencies.revocation.run(
+            call.authorization.key, self._run_admitted(call)
+        )
 
-    async def _run_admitted(self, call: _Call) -> Reply:
+    async def _run_admitted(self, call: _Call) -> Response:
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         await self._enter(call)
@@ -125,70 +132,70 @@
         finally:
             self._leave(call)
         seconds = loop.time() - started_at
-        self.tools.metrics.record_call(call.grant.account.name, seconds)
+        self.dependencies.metrics.record_call(call.authorization.account.name, seconds)
         log_event(
             "call.answered",
             request=call.request.id,
-            route=call.grant.route.name,
+            route=call.authorization.route.name,
             status=reply.status,
             seconds=seconds,
         )
         return reply
 
-    async def _send(self, call: _Call) -> Reply:
-        answer = await self.tools.sender.send(call.planned)
+    async def _send(self, call: _Call) -> Response:
+        answer = await self.dependencies.sender.send(call.planned)
         headers = _keep_shown(answer.head.headers)
-        return Reply(answer.head.status, answer.body, _mark_ran(headers))
+        return Response(answer.head.status, answer.body, _mark_ran(headers))
 
-    async def _generate(self, call: _Call) -> Reply:
+    async def _generate(self, call: _Call) -> Response:
         """Gathers an engine's events into one JSON answer."""
-        opened = await self.tools.relay.open(call.planned)
-        if isinstance(opened, Reply):
+        opened = await self.dependencies.relay.open(call.planned)
+        if isinstance(opened, Response):
             headers = _mark_ran(_keep_shown(opened.headers))
-            return Reply(opened.status, opened.body, headers)
-        reader = EventReader(0)
+            return Response(opened.status, opened.body, headers)
+        reader = UpstreamEventParser(0)
         texts: list[str] = []
         async with contextlib.aclosing(opened.chunks) as chunks:
             async for chunk in chunks:
                 texts += [event.data for event, _ in reader.feed(chunk)]
         body = json.dumps({"text": "\n".join(texts), "events": texts}).encode()
-        return Reply(200, body, _mark_ran((JSON_TYPE,)))
+        return Response(200, body, _mark_ran((JSON_TYPE,)))
 
     # Streams
 
-    async def _open_stream(self, call: _Call) -> Reply | StreamReply:
+    async def _open_stream(self, call: _Call) -> Response | StreamingResponse:
         name = await self._claim(call)
         try:
             await self._enter(call)
             try:
-                opened = await self.tools.revocation.run(
-                    call.grant.key, self.tools.relay.open(call.planned)
+                opened = await self.dependencies.revocation.run(
+                    call.authorization.key, self.dependencies.relay.open(call.planned)
                 )
             except BaseException:
                 self._leave(call)
                 raise
         except BuckthornstileError as error:
             if name is not None and error.verdict is Verdict.NOT_RUN:
-                await self.tools.guard.release(*name)
+                await self.dependencies.deduplicator.release(*name)
             raise
-        if isinstance(opened, Reply):
+        if isinstance(opened, Response):
             self._leave(call)
             headers = _mark_ran(_keep_shown(opened.headers))
-            return Reply(opened.status, opened.body, headers)
+            return Response(opened.status, opened.body, headers)
         chunks = self._relay(call, opened)
         await anext(chunks)
-        return StreamReply(200, (STREAM_TYPE,), chunks)
+        return StreamingResponse(200, (STREAM_TYPE,), chunks)
 
     async def _claim(self, call: _Call) -> tuple[str, int] | None:
         """Claims a stream that may run once only and that its caller has named."""
         key = call.request.idempotency_key
-        if call.grant.route.kind is not RouteKind.AT_MOST_ONCE or not key:
+        if call.authorization.route.kind is not RouteKind.AT_MOST_ONCE or not key:
             return None
-        name = make_call_name(call.grant.account.name, key)
-        return name, await self.tools.guard.claim(name)
+        name = make_call_name(call.authorization.account.name, key)
+        return name, await self.dependencies.deduplicator.claim(name)
 
     async def _relay(
-        self, call: _Call, opened: StreamReply
+        self, call: _Call, opened: StreamingResponse
     ) -> AsyncGenerator[bytes, None]:
         """Passes events on, and ends them with one that proves them whole."""
         digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
@@ -198,8 +205,8 @@
             # A generator that has not begun runs no clean-up when it is closed.
             yield b""
             while True:
-                chunk = await self.tools.revocation.run(
-                    call.grant.key, _read_next(chunks)
+                chunk = await self.dependencies.revocation.run(
+                    call.authorization.key, _read_next(chunks)
                 )
                 if chunk is None:
                     break
@@ -227,24 +234,24 @@
     # Places
 
     async def _enter(self, call: _Call) -> None:
-        if self.tools.is_stopping():
+        if self.dependencies.is_stopping():
             # The balancer still sends what it sent before it knew.
             log_event("call.while_stopping", request=call.request.id)
-        deadline = self.tools.clock() + (
+        deadline = self.dependencies.clock() + (
             call.planned.deadline - asyncio.get_running_loop().time()
         )
-        await self.tools.admission.enter(
-            call.grant.route.services[0][0],
-            call.grant.account,
-            call.grant.request_class,
+        await self.dependencies.admission.enter(
+            call.authorization.route.services[0][0],
+            call.authorization.account,
+            call.authorization.request_class,
             RequestId(call.request.id),
             cost=call.cost,
             deadline=deadline,
         )
 
     def _leave(self, call: _Call) -> None:
-        service = call.grant.route.services[0][0]
-        self.tools.admission.leave(service, call.grant.account.name)
+        service = call.authorization.route.services[0][0]
+        self.dependencies.admission.leave(service, call.authorization.account.name)
 
 
 async def _read_next(chunks: AsyncGenerator[bytes, None]) -> bytes | None:
--- a/buckthornstile/api/_configuration.py
+++ b/buckthornstile/api/_configuration.py
@@ -7,22 +7,22 @@
 from buckthornstile.base import KeyId, Offset, ServiceName
 from buckthornstile.configuration import (
     Configuration,
-    ConfigurationFold,
+    ConfigurationState,
     OpenRoute,
     Rule,
 )
-from buckthornstile.gateway import KEY_BOUND_SHARE
+from buckthornstile.consumers import PartitionConsumer
+from buckthornstile.gateway import KEY_BOUND_FRACTION
 from buckthornstile.logs import log_event
 from buckthornstile.platform import (
     CONFIGURATION_TOPIC,
-    TRAINER_TOPIC,
+    TRAINER_VERSION_TOPIC,
+    KeyedRecord,
     StoreClient,
-    StoredRecord,
     encode_keyed_record,
 )
-from buckthornstile.tails import Tail
 from buckthornstile.topology import (
-    OWN_HOST,
+    API_HOST,
     ModelName,
     Route,
     RouteKind,
@@ -37,7 +37,7 @@
 """Seconds; a call's own timeout is what counts."""
 
 
-class ConfigurationWatch:
+class ConfigurationWatcher:
     """Keeps the configuration of the product's own interface up to date.
 
     Args:
@@ -64,28 +64,28 @@
         self.view = view
         self.key_bound = key_bound
         self.on_change = on_change
-        self.fold = ConfigurationFold()
+        self.fold = ConfigurationState()
         self.is_loaded = False
         self._trainer_versions: dict[str, int] = {}
-        self.tail = Tail(
+        self.consumer = PartitionConsumer(
             store,
             CONFIGURATION_TOPIC,
             0,
             clock=clock,
             wait=TOPIC_WAIT,
             on_record=self._apply,
-            on_newest=self._load,
-            on_read=self._settle,
-            in_order=True,
+            on_snapshot=self._load,
+            on_caught_up=self._settle,
+            ordered=True,
         )
-        self.versions = Tail(
+        self.versions = PartitionConsumer(
             store,
-            TRAINER_TOPIC,
+            TRAINER_VERSION_TOPIC,
             0,
             clock=clock,
             wait=TOPIC_WAIT,
             on_record=self._apply_version,
-            on_newest=self._load_versions,
+            on_snapshot=self._load_versions,
         )
 
     @property
@@ -93,16 +93,19 @@
         """The configuration in force."""
         return self.fold.current
 
-    def get_age(self) -> float:
+    def get_staleness(self) -> float:
         """Seconds since configuration and upstreams were both known to be true."""
-        return max(self.tail.get_age(), self.read_upstream_age())
+        return max(self.consumer.get_staleness(), self.read_upstream_age())
 
     def is_fresh(self) -> bool:
         """Whether what was withdrawn, drained or removed long ago is known to be.
 
         After a pause of this process it is not, until the store was read again.
         """
-        return self.is_loaded and self.get_age() < KEY_BOUND_SHARE * self.key_bound
+        return (
+            self.is_loaded
+            and self.get_staleness() < KEY_BOUND_FRACTION * self.key_bound
+        )
 
     def is_withdrawn(self, key: KeyId) -> bool:
         """Whether work under a key must stop: it is withdrawn, or nobody can say."""
@@ -128,20 +131,20 @@
         """
         value = json.dumps([model, version]).encode()
         record = encode_keyed_record(trainer, value)
-        await self.store.append(TRAINER_TOPIC, 0, [record])
+        await self.store.append(TRAINER_VERSION_TOPIC, 0, [record])
 
     async def run(self) -> None:
         """Follows both topics until cancelled."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.tail.run())
+            group.create_task(self.consumer.run())
             group.create_task(self.versions.run())
 
-    def _load(self, records: list[StoredRecord]) -> None:
-        self.fold.start_over()
+    def _load(self, records: list[KeyedRecord]) -> None:
+        self.fold.reset()
         for record in sorted(records, key=lambda one: one.offset):
             self._apply(record)
 
-    def _apply(self, record: StoredRecord) -> None:
+    def _apply(self, record: KeyedRecord) -> None:
         try:
             self.fold.apply(Offset(record.offset), record.key, record.value)
         except ValueError as error:
@@ -150,26 +153,26 @@
     def _settle(self) -> None:
         is_first = not self.is_loaded
         self.is_loaded = True
-        if not self.fold.settle() and not is_first:
+        if not self.fold.commit() and not is_first:
             return
         current = self.current
-        self.view.replace_own_configuration(
+        self.view.replace_api_configuration(
             [make_route(rule) for rule in current.rules.values()], current.drains
         )
         log_event(
             "configuration.in_force",
             revision=current.revision,
-            offset=current.through,
+            offset=current.last_offset,
             rules=len(current.rules),
             drained=",".join(sorted(current.drains)),
         )
         self.on_change()
 
-    def _load_versions(self, records: list[StoredRecord]) -> None:
+    def _load_versions(self, records: list[KeyedRecord]) -> None:
         for record in records:
             self._apply_version(record)
 
-    def _apply_version(self, record: StoredRecord) -> None:
+    def _apply_version(self, record: KeyedRecord) -> None:
         if record.value is None:
             return
         try:
@@ -183,7 +186,7 @@
         self._trainer_versions[record.key] = version
         log_event("version.named", trainer=record.key, model=model, version=version)
         if model is not None:
-            self.view.apply_named_version(ModelName(model), version)
+            self.view.apply_target_version(ModelName(model), version)
         self.on_change()
 
 
@@ -194,10 +197,10 @@
         >>> make_route(Rule(name="r", path="/v1/x", service="desk")).kind
         <RouteKind.AT_MOST_ONCE: 'at_most_once'>
     """
-    kind = RouteKind.REPEATABLE if rule.idempotent else RouteKind.AT_MOST_ONCE
+    kind = RouteKind.IDEMPOTENT if rule.idempotent else RouteKind.AT_MOST_ONCE
     return Route(
         name=rule.name,
-        host=OWN_HOST,
+        host=API_HOST,
         path_prefix=rule.name,
         kind=kind,
         services=((ServiceName(rule.service), 1.0),),
--- a/buckthornstile/api/_once.py
+++ b/buckthornstile/api/_deduplication.py
@@ -22,15 +22,15 @@
     PlatformUnavailableError,
     Verdict,
 )
-from buckthornstile.calls import Reply
 from buckthornstile.logs import log_event
+from buckthornstile.messages import Response
 from buckthornstile.platform import (
-    AppendRefusedError,
-    HistoryDroppedError,
+    AppendConflictError,
+    OffsetOutOfRangeError,
     Producer,
     StoreClient,
 )
-from buckthornstile.routing import compute_score
+from buckthornstile.routing import compute_rendezvous_score
 
 GENERATED_KEY_PREFIX = "auto-"
 """Begins the keys that the library makes for calls without one of their own."""
@@ -51,11 +51,11 @@
 class _Kept:
     """An answer that is kept, or the run that will make it."""
 
-    task: "asyncio.Task[Reply]"
+    task: "asyncio.Task[Response]"
     size: int = 0
 
 
-class OnceGuard:
+class CallDeduplicator:
     """Runs each named call at most once.
 
     Args:
@@ -73,8 +73,8 @@
         self,
         account: AccountId,
         key: IdempotencyKey,
-        work: Callable[[], Awaitable[Reply]],
-    ) -> Reply:
+        work: Callable[[], Awaitable[Response]],
+    ) -> Response:
         """Runs a call, or gives the answer of the run that it had here.
 
         Args:
@@ -100,8 +100,8 @@
         return await asyncio.shield(kept.task)
 
     async def _run_first(
-        self, name: str, work: Callable[[], Awaitable[Reply]]
-    ) -> Reply:
+        self, name: str, work: Callable[[], Awaitable[Response]]
+    ) -> Response:
         sequence = await self.claim(name)
         try:
             return await work()
@@ -110,7 +110,7 @@
                 await self.release(name, sequence)
             raise
 
-    def _note_end(self, name: str, task: "asyncio.Task[Reply]") -> None:
+    def _note_end(self, name: str, task: "asyncio.Task[Response]") -> None:
         kept = self._kept.get(name)
         if kept is None:
             return
@@ -144,7 +144,7 @@
         while sequence < 2 * MAX_CLAIMS:
             try:
                 offset = await self._append(name, sequence, token)
-            except AppendRefusedError as error:
+            except AppendConflictError as error:
                 # An even number is free; before an odd one an earlier claim stands.
                 if error.expected % 2 or error.expected <= sequence:
                     break
@@ -184,7 +184,7 @@
         """Reads the record at an offset; None if it is not kept any more."""
         try:
             data = await self.store.read(CALL_TOPIC, self._find_part(name), offset)
-        except HistoryDroppedError:
+        except OffsetOutOfRangeError:
             return None
         except PlatformUnavailableError as error:
             raise self._make_unavailable() from error
@@ -192,7 +192,7 @@
         return found.get(offset)
 
     def _find_part(self, name: str) -> int:
-        return compute_score("call", name) % self.parts
+        return compute_rendezvous_score("call", name) % self.parts
 
     def _make_unavailable(self) -> BuckthornstileError:
         return BuckthornstileError(
--- a/buckthornstile/api/_tools.py
+++ b/buckthornstile/api/_dependencies.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from buckthornstile.api._admission import Admission
-from buckthornstile.api._configuration import ConfigurationWatch, make_route
-from buckthornstile.api._once import OnceGuard
+from buckthornstile.api._admission import AdmissionController
+from buckthornstile.api._configuration import ConfigurationWatcher, make_route
+from buckthornstile.api._deduplication import CallDeduplicator
 from buckthornstile.api._requests import ApiRequest
-from buckthornstile.api._revocation import Revocation, make_withdrawn
+from buckthornstile.api._revocation import RevocationMonitor, make_withdrawn
 from buckthornstile.base import (
     BuckthornstileError,
     ErrorCode,
@@ -15,29 +15,29 @@
     ProcessName,
     RequestClass,
 )
-from buckthornstile.configuration import ANY_TRAINER, Account, Key, hash_key
-from buckthornstile.gateway import CallSender, GatewayMetrics, JobStore, StreamRelay
+from buckthornstile.configuration import ANY_TRAINER, Account, ApiKey, hash_api_key
+from buckthornstile.gateway import CallSender, GatewayMetrics, JobStore, StreamProxy
 from buckthornstile.jobs import JobSpecification
 from buckthornstile.settings import EntrySettings
 from buckthornstile.topology import Route, TopologyView
 
-RETRY_HINT = 0.2
+RETRY_AFTER_SECONDS = 0.2
 """Seconds after which a request that was not run may come again."""
 
 
 @dataclass(frozen=True, slots=True)
-class ApiTools:
+class ApiDependencies:
     """What the handlers use."""
 
     settings: EntrySettings
     view: TopologyView
-    watch: ConfigurationWatch
+    watch: ConfigurationWatcher
     sender: CallSender
-    relay: StreamRelay
+    relay: StreamProxy
     jobs: JobStore
-    admission: Admission
-    revocation: Revocation
-    guard: OnceGuard
+    admission: AdmissionController
+    revocation: RevocationMonitor
+    deduplicator: CallDeduplicator
     metrics: GatewayMetrics
     clock: Callable[[], float]
     wall_clock: Callable[[], float]
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Grant:
+class Authorization:
     """What a request may do, and in whose name.
 
     Args:
@@ -65,12 +65,15 @@
 
 
 def authorize(
-    tools: ApiTools, request: ApiRequest, trainer: str = ANY_TRAINER, path: str = ""
-) -> Grant:
+    dependencies: ApiDependencies,
+    request: ApiRequest,
+    trainer: str = ANY_TRAINER,
+    path: str = "",
+) -> Authorization:
     """Finds what a request may do.
 
     Args:
-        tools: What the handlers share.
+        dependencies: What the handlers share.
         request: The request.
         trainer: The trainer that it comes from, if any.
         path: The path at the upstream, whose rule holds if the request's has none.
@@ -78,24 +81,24 @@
     Raises:
         BuckthornstileError: It may not run, or nobody can say.
     """
-    watch = tools.watch
+    watch = dependencies.watch
     if not watch.is_loaded:
         raise BuckthornstileError(
             ErrorCode.CONFIGURATION_MISSING,
             "no configuration is known yet",
-            retry_after=RETRY_HINT,
+            retry_after=RETRY_AFTER_SECONDS,
         )
     configuration = watch.current
     open_route = configuration.find_open_route(request.path)
     if open_route is not None and trainer == ANY_TRAINER:
-        check_fresh(tools)
-        return Grant(
+        check_fresh(dependencies)
+        return Authorization(
             configuration.accounts[open_route.account],
             KeyId(""),
             make_route(open_route),
             open_route.request_class,
         )
-    key = authenticate(tools, request)
+    key = authenticate(dependencies, request)
     rule = configuration.find_rule(request.path, key.account, trainer)
     if rule is None and path:
         rule = configuration.find_rule(path, key.account, trainer)
@@ -105,7 +108,7 @@
             f"no rule serves {(path or request.path)[:80]!r} for account "
             f"{key.account!r}",
         )
-    return Grant(
+    return Authorization(
         configuration.accounts[key.account],
         key.name,
         make_route(rule),
@@ -114,7 +117,7 @@
     )
 
 
-def authenticate(tools: ApiTools, request: ApiRequest) -> Key:
+def authenticate(dependencies: ApiDependencies, request: ApiRequest) -> ApiKey:
     """Finds the key that came with a request.
 
     Raises:
@@ -122,32 +125,34 @@
     """
     if not request.key:
         raise BuckthornstileError(ErrorCode.KEY_MISSING, "the request has no key")
-    key = tools.watch.current.find_key(hash_key(request.key))
+    key = dependencies.watch.current.find_api_key(hash_api_key(request.key))
     if key is None or key.withdrawn:
         # A process that knows too little must not say that a key is unknown.
-        check_fresh(tools)
+        check_fresh(dependencies)
         code = ErrorCode.KEY_UNKNOWN if key is None else ErrorCode.KEY_WITHDRAWN
         raise BuckthornstileError(code, "the key does not work")
-    check_fresh(tools)
+    check_fresh(dependencies)
     return key
 
 
-def check_fresh(tools: ApiTools) -> None:
+def check_fresh(dependencies: ApiDependencies) -> None:
     """Checks that what is known of keys and upstreams is new enough.
 
     Raises:
         BuckthornstileError: ``CONFIGURATION_OLD``.
     """
-    if tools.settings.fails_closed and not tools.watch.is_fresh():
-        age = tools.watch.get_age()
+    if dependencies.settings.fails_closed and not dependencies.watch.is_fresh():
+        age = dependencies.watch.get_staleness()
         raise BuckthornstileError(
             ErrorCode.CONFIGURATION_OLD,
             f"the configuration is {age:.1f} s old, too old to act on",
-            retry_after=RETRY_HINT,
+            retry_after=RETRY_AFTER_SECONDS,
         )
 
 
-def find_key_error(watch: ConfigurationWatch, key: KeyId) -> BuckthornstileError | None:
+def find_key_error(
+    watch: ConfigurationWatcher, key: KeyId
+) -> BuckthornstileError | None:
     """Finds why running work under a key must end, or None if it may go on."""
     known = watch.current.keys.get(key)
     if known is None or known.withdrawn:
--- a/buckthornstile/api/_generation.py
+++ b/buckthornstile/api/_generation.py
@@ -6,7 +6,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from buckthornstile.base import BuckthornstileError, ErrorCode, ServiceName
-from buckthornstile.calls import Generation, PromptPart
+from buckthornstile.messages import GenerationHints, PrefixBlock
 from buckthornstile.samples import hash_prefix
 from buckthornstile.topology import ModelName, TopologyView
 
@@ -38,14 +38,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlannedGeneration:
+class ParsedGeneration:
     """A parsed body, and what an engine must be told beside it."""
 
     body: GenerationBody
-    generation: Generation
+    generation: GenerationHints
 
 
-def parse_generation(value: object, model: ModelName) -> PlannedGeneration:
+def parse_generation(value: object, model: ModelName) -> ParsedGeneration:
     """Checks the body of a call to a model engine.
 
     Args:
@@ -63,12 +63,12 @@
         raise BuckthornstileError(
             ErrorCode.BODY_MALFORMED, f"{place}: {first['msg']}"
         ) from error
-    return PlannedGeneration(body, make_generation(model, body.prompt, body.max_tokens))
+    return ParsedGeneration(body, make_generation(model, body.prompt, body.max_tokens))
 
 
 def make_generation(
     model: ModelName, prompt: str, max_tokens: int, expected_tokens: int = 0
-) -> Generation:
+) -> GenerationHints:
     """Makes what an engine is told of a prompt.
 
     Example:
@@ -76,12 +76,12 @@
         3
     """
     tokens = len(prompt) // CHARACTERS_PER_TOKEN + 1
-    return Generation(
+    return GenerationHints(
         model=model,
         prompt_tokens=tokens,
         max_tokens=max_tokens,
         expected_tokens=expected_tokens,
-        prefix=(PromptPart(hash_prefix(prompt), tokens),),
+        prefix=(PrefixBlock(hash_prefix(prompt), tokens),),
     )
 
 
@@ -101,7 +101,7 @@
         BuckthornstileError: ``NO_UPSTREAM``: no engine of the service is known;
             ``BODY_MALFORMED``: it holds several models, none named like the trainer.
     """
-    models = view.list_model_services().get(service, ())
+    models = view.get_models_by_service().get(service, ())
     if trainer in models:
         return ModelName(trainer)
     if len(models) == 1:
--- a/buckthornstile/api/_handlers.py
+++ b/buckthornstile/api/_handlers.py
@@ -1,25 +1,27 @@
 """Answers what comes through the door of the product's own interface."""
 
-from buckthornstile.api._callers import CallerHandlers
-from buckthornstile.api._lots import LOT_PATH, TRAINER_PATH, LotHandlers
-from buckthornstile.api._operators import OperatorHandlers
+from buckthornstile.api._caller_handlers import CallerHandlers
+from buckthornstile.api._dependencies import ApiDependencies
+from buckthornstile.api._lot_handlers import LOT_PATH, TRAINER_PATH, LotHandlers
+from buckthornstile.api._operator_handlers import OperatorHandlers
 from buckthornstile.api._requests import ApiRequest, make_api_error
-from buckthornstile.api._tools import ApiTools
 from buckthornstile.base import BuckthornstileError
-from buckthornstile.calls import Reply, StreamReply
 from buckthornstile.logs import log_event
+from buckthornstile.messages import Response, StreamingResponse
 
 
 class ApiHandlers:
     """Finds who answers a request: callers', trainers' or operators' handlers."""
 
-    def __init__(self, tools: ApiTools, operators: OperatorHandlers) -> None:
-        self.tools = tools
-        self.callers = CallerHandlers(tools)
-        self.lots = LotHandlers(tools)
+    def __init__(
+        self, dependencies: ApiDependencies, operators: OperatorHandlers
+    ) -> None:
+        self.dependencies = dependencies
+        self.callers = CallerHandlers(dependencies)
+        self.lots = LotHandlers(dependencies)
         self.operators = operators
 
-    async def handle(self, request: ApiRequest) -> Reply | StreamReply:
+    async def handle(self, request: ApiRequest) -> Response | StreamingResponse:
         """Answers one request; failures become a coded error with a verdict."""
         show = self.operators.find(request.path)
         if show is not None:
@@ -38,7 +40,7 @@
                 error=error.code.value,
                 reason=error.message,
                 verdict=error.verdict.value,
-                revision=self.tools.watch.current.revision,
-                store_age=self.tools.watch.get_age(),
+                revision=self.dependencies.watch.current.revision,
+                store_age=self.dependencies.watch.get_staleness(),
             )
             return make_api_error(error)
--- a/buckthornstile/api/_lot_attach.py
+++ b/buckthornstile/api/_lot_attachment.py
@@ -3,6 +3,7 @@
 import asyncio
 from dataclasses import dataclass, field
 
+from buckthornstile.api._dependencies import ApiDependencies, Authorization
 from buckthornstile.api._lot_jobs import (
     has_given_up,
     make_job,
@@ -10,7 +11,6 @@
     make_lot_name,
     make_trainer_name,
 )
-from buckthornstile.api._tools import ApiTools, Grant
 from buckthornstile.base import (
     BuckthornstileError,
     ErrorCode,
@@ -32,10 +32,10 @@
 
 
 @dataclass(slots=True)
-class Attach:
+class LotAttachment:
     """One attach of a trainer to a lot."""
 
-    grant: Grant
+    authorization: Authorization
     specification: LotSpecification
     lot: LotId
     number: int
@@ -53,24 +53,24 @@
     """Finds, makes and ends the jobs of lots.
 
     Args:
-        tools: What the handlers share.
+        dependencies: What the handlers share.
     """
 
-    def __init__(self, tools: ApiTools) -> None:
-        self.tools = tools
+    def __init__(self, dependencies: ApiDependencies) -> None:
+        self.dependencies = dependencies
 
-    async def follow(self, attach: Attach) -> None:
+    async def follow(self, attach: LotAttachment) -> None:
         """Has the account's partition followed here, and waits until it is read.
 
         Raises:
             BuckthornstileError: ``PLATFORM_UNAVAILABLE``: the store did not answer.
         """
-        jobs = self.tools.jobs
-        part = jobs.find_part(attach.grant.account.name)
-        end = self.tools.clock() + JOB_WAIT
+        jobs = self.dependencies.jobs
+        part = jobs.find_partition(attach.authorization.account.name)
+        end = self.dependencies.clock() + JOB_WAIT
         jobs.follow(part)
-        while not jobs.is_followed(part):
-            if self.tools.clock() > end:
+        while not jobs.is_consumed(part):
+            if self.dependencies.clock() > end:
                 raise BuckthornstileError(
                     ErrorCode.PLATFORM_UNAVAILABLE,
                     "the account's lots could not be read from the store",
@@ -78,13 +78,13 @@
                 )
             await asyncio.sleep(POLL_PERIOD / 5)
 
-    async def open_job(self, attach: Attach) -> Job:
+    async def open_job(self, attach: LotAttachment) -> Job:
         """Finds or makes the job of the samples that a lot lacks.
 
         Raises:
             BuckthornstileError: It is not known to be stored.
         """
-        account = attach.grant.account.name
+        account = attach.authorization.account.name
         minimum = self.find_minimum(attach)
         job_id, job = self._find_open_job(attach, minimum)
         if job is None:
@@ -93,20 +93,22 @@
                 job_id,
                 lot=attach.lot,
                 account=account,
-                key=attach.grant.key,
-                route=attach.grant.route.path_prefix,
+                key=attach.authorization.key,
+                route=attach.authorization.route.path_prefix,
                 model=attach.model,
                 minimum=minimum,
-                submitted_at=self.tools.wall_clock(),
+                submitted_at=self.dependencies.wall_clock(),
             )
-            owner = self.tools.choose_first_owner(specification)
-            await self.tools.jobs.accept(specification, owner)
+            owner = self.dependencies.choose_first_owner(specification)
+            await self.dependencies.jobs.accept(specification, owner)
             log_event("job.accepted", job=job_id, lot=attach.lot, owner=owner)
             job = await self._wait_for_job(job_id)
         await self._end_older(attach.lot, minimum)
         return job
 
-    def _find_open_job(self, attach: Attach, minimum: int) -> tuple[JobId, Job | None]:
+    def _find_open_job(
+        self, attach: LotAttachment, minimum: int
+    ) -> tuple[JobId, Job | None]:
         """Finds the newest job of a lot that may still make what is missing.
 
         Raises:
@@ -114,7 +116,7 @@
         """
         for number in range(MAX_TRIES):
             job_id = make_job_id(attach.lot, minimum, number)
-            job = self.tools.jobs.table.find(job_id)
+            job = self.dependencies.jobs.table.find(job_id)
             if job is None or not has_given_up(job, attach.missing):
                 return job_id, job
         raise BuckthornstileError(
@@ -124,9 +126,9 @@
         )
 
     async def _wait_for_job(self, job_id: JobId) -> Job:
-        end = self.tools.clock() + JOB_WAIT
-        while self.tools.clock() < end:
-            job = self.tools.jobs.table.find(job_id)
+        end = self.dependencies.clock() + JOB_WAIT
+        while self.dependencies.clock() < end:
+            job = self.dependencies.jobs.table.find(job_id)
             if job is not None:
                 return job
             await asyncio.sleep(POLL_PERIOD / 5)
@@ -139,17 +141,17 @@
     async def _end_older(self, lot: LotId, minimum: int) -> None:
         for job in self.find_jobs(lot):
             if job.specification.minimum_version < minimum and not job.is_finished():
-                await self.tools.jobs.end(job)
+                await self.dependencies.jobs.end(job)
 
     def find_jobs(self, lot: LotId) -> list[Job]:
         """Finds the jobs of a lot that are known here."""
         prefix = make_lot_name(lot) + "."
-        jobs = self.tools.jobs.table.jobs
+        jobs = self.dependencies.jobs.table.jobs
         return [job for name, job in jobs.items() if name.startswith(prefix)]
 
-    def find_minimum(self, attach: Attach) -> int:
+    def find_minimum(self, attach: LotAttachment) -> int:
         """The oldest version that a sample may have now."""
         name = make_trainer_name(
-            attach.grant.account.name, attach.specification.trainer
+            attach.authorization.account.name, attach.specification.trainer
         )
-        return attach.get_minimum(self.tools.watch.get_trainer_version(name))
+        return attach.get_minimum(self.dependencies.watch.get_trainer_version(name))
--- a/buckthornstile/api/_lots.py
+++ b/buckthornstile/api/_lot_handlers.py
@@ -8,29 +8,29 @@
 import asyncio
 from collections.abc import AsyncGenerator
 
+from buckthornstile.api._dependencies import ApiDependencies, authenticate, authorize
 from buckthornstile.api._generation import (
     GENERATION_PATH,
     find_model,
 )
-from buckthornstile.api._lot_attach import POLL_PERIOD, Attach, LotJobs
+from buckthornstile.api._lot_attachment import POLL_PERIOD, LotAttachment, LotJobs
 from buckthornstile.api._lot_jobs import (
     make_sample,
     make_trainer_name,
 )
 from buckthornstile.api._lot_requests import is_count, parse_slots, read_object
 from buckthornstile.api._requests import ApiRequest, make_json_reply
-from buckthornstile.api._tools import ApiTools, authenticate, authorize
 from buckthornstile.base import (
     BuckthornstileError,
     ErrorCode,
     LotId,
     Verdict,
 )
-from buckthornstile.calls import Reply, StreamReply
 from buckthornstile.jobs import (
     Job,
 )
 from buckthornstile.logs import log_event
+from buckthornstile.messages import Response, StreamingResponse
 from buckthornstile.samples import (
     EndLine,
     ErrorLine,
@@ -52,13 +52,13 @@
 class LotHandlers:
     """Answers trainers."""
 
-    def __init__(self, tools: ApiTools) -> None:
-        self.tools = tools
-        self.lot_jobs = LotJobs(tools)
+    def __init__(self, dependencies: ApiDependencies) -> None:
+        self.dependencies = dependencies
+        self.lot_jobs = LotJobs(dependencies)
         self._newest: dict[LotId, int] = {}
         self.open = 0
 
-    async def handle(self, request: ApiRequest) -> Reply | StreamReply:
+    async def handle(self, request: ApiRequest) -> Response | StreamingResponse:
         """Answers a request below the trainers' paths.
 
         Raises:
@@ -81,27 +81,27 @@
 
     # Versions and acknowledgements
 
-    async def _set_version(self, request: ApiRequest, trainer: str) -> Reply:
-        key = authenticate(self.tools, request)
+    async def _set_version(self, request: ApiRequest, trainer: str) -> Response:
+        key = authenticate(self.dependencies, request)
         version = read_object(request).get("version")
         if not is_count(version):
             raise BuckthornstileError(
                 ErrorCode.BODY_MALFORMED, "version must be a whole number from 0"
             )
-        configuration = self.tools.watch.current
+        configuration = self.dependencies.watch.current
         rule = configuration.find_rule(
             LOT_PATH, key.account, trainer
         ) or configuration.find_rule(GENERATION_PATH, key.account, trainer)
         model = None
         if rule is not None:
-            model = find_model(self.tools.view, rule.service, trainer)
+            model = find_model(self.dependencies.view, rule.service, trainer)
         name = make_trainer_name(key.account, trainer)
-        await self.tools.watch.name_version(name, model, int(str(version)))
+        await self.dependencies.watch.name_version(name, model, int(str(version)))
         return make_json_reply({"version": version})
 
-    async def _acknowledge(self, request: ApiRequest, lot: str) -> Reply:
+    async def _acknowledge(self, request: ApiRequest, lot: str) -> Response:
         """Ends the lot's jobs once the trainer has every sample."""
-        key = authenticate(self.tools, request)
+        key = authenticate(self.dependencies, request)
         data = read_object(request)
         slots = parse_slots(data.get("slots", []))
         trainer = data.get("trainer")
@@ -121,11 +121,11 @@
 
     # Lots
 
-    async def _attach(self, request: ApiRequest) -> StreamReply:
-        if self.tools.is_stopping():
+    async def _attach(self, request: ApiRequest) -> StreamingResponse:
+        if self.dependencies.is_stopping():
             raise _make_draining()
         attach = self._plan(request)
-        if self.open >= self.tools.settings.max_lots:
+        if self.open >= self.dependencies.settings.max_lots:
             raise BuckthornstileError(
                 ErrorCode.QUEUE_FULL, f"{self.open} lots are open", retry_after=1.0
             )
@@ -140,9 +140,9 @@
         )
         chunks = self._stream(attach, job)
         await anext(chunks)
-        return StreamReply(200, (LINE_TYPE,), chunks)
+        return StreamingResponse(200, (LINE_TYPE,), chunks)
 
-    def _plan(self, request: ApiRequest) -> Attach:
+    def _plan(self, request: ApiRequest) -> LotAttachment:
         data = read_object(request)
         specification = parse_specification(data.get("specification"))
         number = data.get("attach")
@@ -150,32 +150,36 @@
             raise BuckthornstileError(
                 ErrorCode.LOT_INVALID, "attach must be a whole number from 0"
             )
-        grant = authorize(
-            self.tools, request, specification.trainer, specification.path
+        authorization = authorize(
+            self.dependencies, request, specification.trainer, specification.path
         )
-        account = grant.account.name
+        account = authorization.account.name
         lot = make_lot_id(account, specification.trainer, specification.lot)
         if int(str(number)) < self._newest.get(lot, 0):
             raise BuckthornstileError(
                 ErrorCode.ATTACH_OLD, "the trainer has attached again since"
             )
         self._newest[lot] = int(str(number))
-        service = grant.route.services[0][0]
+        service = authorization.route.services[0][0]
         bounded = specification.model_copy(
-            update={"maximum_age": min(specification.maximum_age, grant.maximum_age)}
+            update={
+                "maximum_age": min(specification.maximum_age, authorization.maximum_age)
+            }
         )
         received = parse_slots(data.get("received", []))
-        return Attach(
-            grant,
+        return LotAttachment(
+            authorization,
             bounded,
             lot,
             int(str(number)),
-            find_model(self.tools.view, service, specification.trainer),
-            self.tools.clock() + specification.timeout,
+            find_model(self.dependencies.view, service, specification.trainer),
+            self.dependencies.clock() + specification.timeout,
             set(bounded.iterate_slots()) - received,
         )
 
-    async def _stream(self, attach: Attach, job: Job) -> AsyncGenerator[bytes, None]:
+    async def _stream(
+        self, attach: LotAttachment, job: Job
+    ) -> AsyncGenerator[bytes, None]:
         self.open += 1
         try:
             yield b""
@@ -200,13 +204,13 @@
             self.open -= 1
 
     async def _make_lines(
-        self, attach: Attach, job: Job
+        self, attach: LotAttachment, job: Job
     ) -> AsyncGenerator[bytes, None]:
-        silent_since = self.tools.clock()
+        silent_since = self.dependencies.clock()
         position = 0
         while attach.missing:
             self._check(attach)
-            self.tools.jobs.follow(job.part)
+            self.dependencies.jobs.follow(job.part)
             minimum = self.lot_jobs.find_minimum(attach)
             if minimum > job.specification.minimum_version:
                 job, position = await self.lot_jobs.open_job(attach), 0
@@ -216,7 +220,7 @@
                 sample = make_sample(result, minimum)
                 if sample is not None and sample.slot in attach.missing:
                     attach.missing.discard(sample.slot)
-                    silent_since = self.tools.clock()
+                    silent_since = self.dependencies.clock()
                     yield encode_sample(sample)
             if not attach.missing:
                 break
@@ -227,32 +231,32 @@
                     f"{len(attach.missing)} samples of the lot were given up",
                     verdict=Verdict.MAY_HAVE_RUN,
                 )
-            if self.tools.clock() - silent_since > HEARTBEAT_PERIOD:
-                silent_since = self.tools.clock()
+            if self.dependencies.clock() - silent_since > HEARTBEAT_PERIOD:
+                silent_since = self.dependencies.clock()
                 yield encode_line(HeartbeatLine())
             await _wait_for_change(job, POLL_PERIOD)
         yield encode_line(EndLine(delivered=attach.specification.slot_count))
 
-    def _check(self, attach: Attach) -> None:
+    def _check(self, attach: LotAttachment) -> None:
         """Checks that the attach may go on.
 
         Raises:
             BuckthornstileError: The key, the attach, the time or the entry has ended.
         """
-        error = self.tools.revocation.find_error(attach.grant.key)
+        error = self.dependencies.revocation.find_error(attach.authorization.key)
         if error is not None:
             raise error
         if self._newest.get(attach.lot, 0) > attach.number:
             raise BuckthornstileError(
                 ErrorCode.ATTACH_OLD, "the trainer has attached again since"
             )
-        if self.tools.clock() > attach.deadline:
+        if self.dependencies.clock() > attach.deadline:
             raise BuckthornstileError(
                 ErrorCode.DEADLINE_PASSED,
                 "the lot's timeout has passed",
                 verdict=Verdict.MAY_HAVE_RUN,
             )
-        if self.tools.is_stopping():
+        if self.dependencies.is_stopping():
             raise _make_draining()
 
 
@@ -263,7 +267,7 @@
         if not changed.done():
             changed.set_result(None)
 
-    job.waiters.append(wake)
+    job.change_callbacks.append(wake)
     await asyncio.wait({changed}, timeout=seconds)
 
 
--- a/buckthornstile/api/_lot_jobs.py
+++ b/buckthornstile/api/_lot_jobs.py
@@ -16,7 +16,7 @@
 )
 from buckthornstile.platform import encode_generation
 from buckthornstile.samples import LotSpecification, Sample, Slot, TokenRange
-from buckthornstile.topology import OWN_HOST, ModelName
+from buckthornstile.topology import API_HOST, ModelName
 
 NAME_BYTES = 12
 
@@ -73,7 +73,7 @@
     return JobSpecification(
         id=job_id,
         account=account,
-        host=OWN_HOST,
+        host=API_HOST,
         path_prefix=route,
         submitted_at=submitted_at,
         items=tuple(items),
@@ -92,7 +92,7 @@
         return None
     labels = []
     first = 0
-    for run in result.version_runs:
+    for run in result.version_spans:
         last = first + run.events - 1
         labels.append(TokenRange(first, last, WeightVersion(run.version)))
         first = last + 1
--- a/buckthornstile/api/_operators.py
+++ b/buckthornstile/api/_operator_handlers.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from buckthornstile.api._dependencies import ApiDependencies
 from buckthornstile.api._requests import ApiRequest, make_json_reply
-from buckthornstile.api._tools import ApiTools
 from buckthornstile.base import ProcessName
-from buckthornstile.calls import Reply
-from buckthornstile.logs import EventLineHandler
+from buckthornstile.logs import EventLogHandler
+from buckthornstile.messages import Response
 
 MAX_LINES = 200
 """Recent event lines in one answer."""
@@ -41,17 +41,17 @@
 
     def __init__(
         self,
-        tools: ApiTools,
-        events: EventLineHandler,
+        dependencies: ApiDependencies,
+        events: EventLogHandler,
         read_state: Callable[[], ProcessState],
         render_metrics: Callable[[], str],
     ) -> None:
-        self.tools = tools
+        self.dependencies = dependencies
         self.events = events
         self.read_state = read_state
         self.render_metrics = render_metrics
 
-    def find(self, path: str) -> Callable[[ApiRequest], Reply] | None:
+    def find(self, path: str) -> Callable[[ApiRequest], Response] | None:
         """Finds what answers a path, or None if it is no operator's."""
         return {
             "/healthz": self._show_health,
@@ -61,21 +61,21 @@
             "/v1/explain": self._explain,
         }.get(path)
 
-    def _show_health(self, request: ApiRequest) -> Reply:
+    def _show_health(self, request: ApiRequest) -> Response:
         return make_json_reply({"live": True})
 
-    def _show_readiness(self, request: ApiRequest) -> Reply:
+    def _show_readiness(self, request: ApiRequest) -> Response:
         ready = self.read_state().ready
         return make_json_reply({"ready": ready}, 200 if ready else 503)
 
-    def _show_metrics(self, request: ApiRequest) -> Reply:
+    def _show_metrics(self, request: ApiRequest) -> Response:
         headers = (("Content-Type", "text/plain; version=0.0.4"),)
-        return Reply(200, self.render_metrics().encode(), headers)
+        return Response(200, self.render_metrics().encode(), headers)
 
-    def _show_status(self, request: ApiRequest) -> Reply:
+    def _show_status(self, request: ApiRequest) -> Response:
         state = self.read_state()
-        configuration = self.tools.watch.current
-        view = self.tools.view
+        configuration = self.dependencies.watch.current
+        view = self.dependencies.view
         upstreams = [
             {
                 "upstream": upstream.id,
@@ -88,14 +88,14 @@
         ]
         return make_json_reply(
             {
-                "process": self.tools.settings.process,
-                "failure_domain": self.tools.settings.failure_domain,
+                "process": self.dependencies.settings.process,
+                "failure_domain": self.dependencies.settings.failure_domain,
                 "ready": state.ready,
                 "stopping": state.stopping,
                 "configuration": {
                     "revision": configuration.revision,
-                    "offset": configuration.through,
-                    "age": round(min(self.tools.watch.get_age(), 1e9), 3),
+                    "offset": configuration.last_offset,
+                    "age": round(min(self.dependencies.watch.get_staleness(), 1e9), 3),
                 },
                 "control": {
                     "is_holder": state.is_holder,
@@ -104,17 +104,17 @@
                 },
                 "entries": list(state.entries),
                 "drained": sorted(view.drained | view.evacuated),
-                "open_calls": self.tools.admission.open,
+                "open_calls": self.dependencies.admission.open,
                 "jobs": state.jobs,
                 "upstreams": upstreams,
             }
         )
 
-    def _explain(self, request: ApiRequest) -> Reply:
+    def _explain(self, request: ApiRequest) -> Response:
         subject = request.read_argument("subject")
         return make_json_reply(
             {
-                "process": self.tools.settings.process,
+                "process": self.dependencies.settings.process,
                 "lines": self.events.list_recent(subject)[-MAX_LINES:],
                 "counts": self.events.count_events(subject),
             }
--- a/buckthornstile/api/_requests.py
+++ b/buckthornstile/api/_requests.py
@@ -13,7 +13,7 @@
     IdempotencyKey,
     get_http_status,
 )
-from buckthornstile.calls import Headers, Reply, StreamReply
+from buckthornstile.messages import Headers, Response, StreamingResponse
 
 KEY_HEADER = "Authorization"
 KEY_SCHEME = "bearer"
@@ -131,22 +131,24 @@
         )
 
 
-def encode_api_reply(request: ApiRequest, reply: Reply | StreamReply) -> Headers:
+def encode_api_response(
+    request: ApiRequest, reply: Response | StreamingResponse
+) -> Headers:
     """Gives the headers of an answer, without those of the connection."""
     return reply.headers
 
 
-def make_json_reply(value: object, status: int = 200) -> Reply:
+def make_json_reply(value: object, status: int = 200) -> Response:
     """Makes an answer of the system itself.
 
     Example:
         >>> make_json_reply({"version": 2}).body
         b'{"version": 2}'
     """
-    return Reply(status, json.dumps(value).encode(), (JSON_TYPE,))
+    return Response(status, json.dumps(value).encode(), (JSON_TYPE,))
 
 
-def make_api_error(error: BuckthornstileError) -> Reply:
+def make_api_error(error: BuckthornstileError) -> Response:
     """Makes the answer to a request that failed: JSON with code and verdict.
 
     Example:
@@ -157,7 +159,7 @@
     headers = [JSON_TYPE, (VERDICT_HEADER, error.verdict.value)]
     if error.retry_after is not None:
         headers.append(("Retry-After", f"{error.retry_after:.3f}"))
-    return Reply(get_http_status(error.code), body, tuple(headers))
+    return Response(get_http_status(error.code), body, tuple(headers))
 
 
 def describe_error(error: BuckthornstileError) -> dict[str, object]:
--- a/buckthornstile/api/_revocation.py
+++ b/buckthornstile/api/_revocation.py
@@ -10,7 +10,7 @@
 FindError = Callable[[KeyId], BuckthornstileError | None]
 
 
-class Revocation:
+class RevocationMonitor:
     """Keeps what runs under each key, and ends it with the key.
 
     Args:
--- a/buckthornstile/api/tests/test_admission.py
+++ b/buckthornstile/api/tests/test_admission.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from buckthornstile.api import Admission
+from buckthornstile.api import AdmissionController
 from buckthornstile.base import BuckthornstileError, ErrorCode, RequestClass
 from buckthornstile.configuration import Account
 
@@ -15,10 +15,12 @@
 def make_admission(places, **options):
     loop = asyncio.get_running_loop()
     options = {"maximum_open": 1000, **options}
-    return Admission(lambda service: places, loop.time, **options)
+    return AdmissionController(lambda service: places, loop.time, **options)
 
 
-async def enter(admission, account, number, *, seconds=5.0, name=RequestClass.WAITED):
+async def enter(
+    admission, account, number, *, seconds=5.0, name=RequestClass.INTERACTIVE
+):
     await admission.enter(
         DESK,
         account,
--- a/buckthornstile/api/tests/test_once.py
+++ b/buckthornstile/api/tests/test_deduplication.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from buckthornstile.api import OnceGuard
+from buckthornstile.api import CallDeduplicator
 from buckthornstile.base import BuckthornstileError, ErrorCode, Verdict
-from buckthornstile.calls import Reply
+from buckthornstile.messages import Response
 from buckthornstile.platform import StoreClient
 from standins.server import listen
 from standins.store import make_application
@@ -15,7 +15,7 @@
 
 
 class World:
-    def __init__(self, guard_type=OnceGuard):
+    def __init__(self, guard_type=CallDeduplicator):
         self.application = make_application()
         port = listen(self.application, "127.0.0.1", 0)
         self.faults = self.application.faults
@@ -30,7 +30,7 @@
             if error is not None:
                 raise error
             self.runs += 1
-            return Reply(200, b"done")
+            return Response(200, b"done")
 
         return await self.guards[entry].run(ACCOUNT, key, work)
 
@@ -126,7 +126,7 @@
     assert play(scenario).runs == 1
 
 
-class TrustsTheStoresAnswer(OnceGuard):
+class TrustsTheStoresAnswer(CallDeduplicator):
     """Takes an acknowledged append for a claim of its own."""
 
     async def claim(self, name):
--- a/buckthornstile/base/_ids.py
+++ b/buckthornstile/base/_ids.py
@@ -75,7 +75,7 @@
 class RequestClass(Enum):
     """Who waits on a request; the order of members is the order of service."""
 
-    WAITED = "waited"
+    INTERACTIVE = "waited"
     TRAINER = "trainer"
     BACKGROUND = "background"
 
--- a/buckthornstile/client/_caller.py
+++ b/buckthornstile/client/_caller.py
@@ -17,10 +17,10 @@
     IdempotencyKey,
     Verdict,
 )
-from buckthornstile.client._attempts import Attempt, CallAttempts, RetryPolicy
 from buckthornstile.client._errors import make_truncated, parse_error
-from buckthornstile.client._events import EventReader
+from buckthornstile.client._event_stream import EventStreamParser
 from buckthornstile.client._exchange import Exchange, HttpRequest, open_exchange
+from buckthornstile.client._retry import Attempt, RetryPolicy, RetryState
 
 MAX_WHOLE_BYTES = 64 << 20
 GENERATED_KEY_PREFIX = "auto-"
@@ -169,8 +169,8 @@
                     raise attempts.give_up(error) from error
                 await _wait_or_give_up(attempts, error)
 
-    def _make_attempts(self, idempotent: bool, timeout: float) -> CallAttempts:
-        return CallAttempts(
+    def _make_attempts(self, idempotent: bool, timeout: float) -> RetryState:
+        return RetryState(
             len(self.entries),
             idempotent=idempotent,
             deadline=time.monotonic() + timeout,
@@ -196,7 +196,7 @@
     async def _try_stream(self, call: _Call, attempt: Attempt) -> AsyncIterator[bytes]:
         deadline = time.monotonic() + attempt.timeout
         exchange = await self._open(call, attempt)
-        reader = EventReader()
+        reader = EventStreamParser()
         chunks = exchange.iterate()
         try:
             status, headers = await _wait_until(deadline, exchange.read_head())
@@ -229,7 +229,7 @@
     return IdempotencyKey(given or f"{GENERATED_KEY_PREFIX}{uuid.uuid4().hex}")
 
 
-async def _wait_or_give_up(attempts: CallAttempts, error: BuckthornstileError) -> None:
+async def _wait_or_give_up(attempts: RetryState, error: BuckthornstileError) -> None:
     delay = attempts.get_delay(error, time.monotonic())
     if delay is None:
         raise attempts.give_up(error) from error
--- a/buckthornstile/client/_events.py
+++ b/buckthornstile/client/_event_stream.py
@@ -13,14 +13,14 @@
 _DIGEST_BYTES = 16
 
 
-class EventReader:
+class EventStreamParser:
     r"""Yields the data of events; the stream's own end event must match them.
 
     The entry ends a good stream with ``event: end`` and the length and digest
     of all bytes before it, and a failed one with ``event: error``.
 
     Example:
-        >>> reader = EventReader()
+        >>> reader = EventStreamParser()
         >>> list(reader.feed(b"data: hello\n\n"))
         [b'hello']
         >>> reader.finish()
@@ -37,7 +37,7 @@
         self._whole = False
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the end event has come and matches what came before."""
         return self._whole
 
--- a/buckthornstile/client/_attempts.py
+++ b/buckthornstile/client/_retry.py
@@ -60,7 +60,7 @@
     timeout: float
 
 
-class CallAttempts:
+class RetryState:
     """The attempts of one call.
 
     Args:
@@ -71,7 +71,7 @@
         policy: How often to try.
 
     Example:
-        >>> attempts = CallAttempts(2, idempotent=False, deadline=9.0,
+        >>> attempts = RetryState(2, idempotent=False, deadline=9.0,
         ...     generator=random.Random(1))
         >>> first = attempts.begin(0.0)
         >>> refusal = BuckthornstileError(ErrorCode.QUEUE_FULL)
--- a/buckthornstile/client/_session.py
+++ b/buckthornstile/client/_session.py
@@ -5,16 +5,16 @@
 from functools import singledispatchmethod
 
 from buckthornstile.base import BuckthornstileError, ErrorCode, Verdict
-from buckthornstile.client._attempts import FINAL_CODES
+from buckthornstile.client._retry import FINAL_CODES
 from buckthornstile.samples import (
     AttachRequest,
     EndLine,
     ErrorLine,
     HeartbeatLine,
     Line,
-    Receipt,
-    ReceivedSet,
+    ReceiveResult,
     SampleLine,
+    SampleReceiver,
 )
 
 _MAX_DOUBLINGS = 10
@@ -41,7 +41,7 @@
     maximum_delay: float = 1.0
 
 
-class Step(Enum):
+class SessionAction(Enum):
     """What the trainer's client does next."""
 
     READ = "read"
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attach:
+class AttachAttempt:
     """An attach to send.
 
     Args:
@@ -79,18 +79,18 @@
         >>> from buckthornstile.samples import GroupSpecification, LotSpecification
         >>> group = GroupSpecification(prompt="p", samples=1)
         >>> wanted = LotSpecification(lot="l", trainer="t", groups=(group,), version=1)
-        >>> session = LotSession(ReceivedSet(wanted), entry_count=2, now=0.0)
+        >>> session = LotSession(SampleReceiver(wanted), entry_count=2, now=0.0)
         >>> session.begin_attach(0.0).entry
         0
-        >>> session.on_break(1.0)
-        <Step.ATTACH: 'attach'>
+        >>> session.on_stream_failed(1.0)
+        <SessionAction.ATTACH: 'attach'>
         >>> session.begin_attach(1.0).entry
         1
     """
 
     def __init__(
         self,
-        received: ReceivedSet,
+        received: SampleReceiver,
         *,
         entry_count: int,
         now: float,
@@ -102,12 +102,12 @@
         self.entry = first_entry
         self.policy = policy or SessionPolicy()
         self.deadline = now + received.specification.timeout
-        self.attach: Attach | None = None
+        self.attach: AttachAttempt | None = None
         self.attach_count = 0
         self._vain_attaches = 0
         self._retry_after = 0.0
 
-    def get_patience(self, now: float) -> float:
+    def get_read_timeout(self, now: float) -> float:
         """Gives the seconds to wait for the next line, from now on.
 
         Silence counts from the moment at which the client begins to read, since
@@ -118,7 +118,7 @@
         """
         return max(0.0, min(self.deadline - now, self.policy.silence_timeout))
 
-    def begin_attach(self, now: float) -> Attach:
+    def begin_attach(self, now: float) -> AttachAttempt:
         """Makes the next attach.
 
         Args:
@@ -137,10 +137,12 @@
         self._retry_after = 0.0
         self.attach_count += 1
         self._vain_attaches += 1
-        self.attach = Attach(self.received.begin_attach(), self.entry, delay)
+        self.attach = AttachAttempt(self.received.begin_attach(), self.entry, delay)
         return self.attach
 
-    def on_break(self, now: float, error: BuckthornstileError | None = None) -> Step:
+    def on_stream_failed(
+        self, now: float, error: BuckthornstileError | None = None
+    ) -> SessionAction:
         """Takes in that a stream broke, fell silent or was refused.
 
         Args:
@@ -155,12 +157,12 @@
         if error is not None:
             self._retry_after = error.retry_after or 0.0
         if self.received.is_complete:
-            return Step.FINISH
+            return SessionAction.FINISH
         self.entry = (self.entry + 1) % self.entry_count
-        return Step.ATTACH
+        return SessionAction.ATTACH
 
     @singledispatchmethod
-    def on_line(self, line: Line, now: float) -> Step:
+    def on_line(self, line: Line, now: float) -> SessionAction:
         """Takes in one line of the stream.
 
         Args:
@@ -177,37 +179,39 @@
         raise TypeError(f"not a line: {line!r}")
 
     @on_line.register
-    def _(self, line: SampleLine, now: float) -> Step:
+    def _(self, line: SampleLine, now: float) -> SessionAction:
         try:
             receipt = self.received.receive(line)
         except BuckthornstileError:
-            return self.on_break(now)
-        if receipt is Receipt.NEW:
+            return self.on_stream_failed(now)
+        if receipt is ReceiveResult.NEW:
             self._vain_attaches = 0
-            return Step.YIELD
-        if receipt is Receipt.DUPLICATE:
-            return Step.READ
+            return SessionAction.YIELD
+        if receipt is ReceiveResult.DUPLICATE:
+            return SessionAction.READ
         # The entry makes the slot again, now that it learns the version; one
         # that brings nothing new is left.
-        return self.on_break(now) if self._vain_attaches else Step.ATTACH
+        return (
+            self.on_stream_failed(now) if self._vain_attaches else SessionAction.ATTACH
+        )
 
     @on_line.register
-    def _(self, line: HeartbeatLine, now: float) -> Step:
-        return Step.READ
+    def _(self, line: HeartbeatLine, now: float) -> SessionAction:
+        return SessionAction.READ
 
     @on_line.register
-    def _(self, line: EndLine, now: float) -> Step:
-        return self.on_break(now)
+    def _(self, line: EndLine, now: float) -> SessionAction:
+        return self.on_stream_failed(now)
 
     @on_line.register
-    def _(self, line: ErrorLine, now: float) -> Step:
+    def _(self, line: ErrorLine, now: float) -> SessionAction:
         error = BuckthornstileError(
             line.code,
             line.message,
             verdict=line.verdict,
             retry_after=line.retry_after,
         )
-        return self.on_break(now, error)
+        return self.on_stream_failed(now, error)
 
     def _get_backoff(self) -> float:
         if self._vain_attaches == 0:
--- a/buckthornstile/client/_trainer.py
+++ b/buckthornstile/client/_trainer.py
@@ -11,12 +11,17 @@
 from buckthornstile.base import BuckthornstileError, TrainerId, WeightVersion
 from buckthornstile.client._errors import make_lost, make_truncated, parse_error
 from buckthornstile.client._exchange import Exchange, HttpRequest, open_exchange
-from buckthornstile.client._lines import LineReader
-from buckthornstile.client._session import Attach, LotSession, SessionPolicy, Step
+from buckthornstile.client._line_reader import LineReader
+from buckthornstile.client._session import (
+    AttachAttempt,
+    LotSession,
+    SessionAction,
+    SessionPolicy,
+)
 from buckthornstile.samples import (
     LotSpecification,
-    ReceivedSet,
     SampleLine,
+    SampleReceiver,
     Slot,
     TokenRange,
     decode_line,
@@ -107,7 +112,7 @@
         # Seconds since the epoch, so that the numbers go on growing when the
         # trainer restarts.
         first_attach = max(self._next_attach, int(time.time()))
-        received = ReceivedSet(specification, first_attach=first_attach)
+        received = SampleReceiver(specification, first_attach=first_attach)
         session = LotSession(
             received,
             entry_count=len(self.entries),
@@ -141,7 +146,7 @@
             version: The trainer's current weight version.
         """
         for session in self._sessions:
-            session.received.on_trainer_version(version)
+            session.received.update_trainer_version(version)
         path = f"/v1/trainers/{self.trainer}/version"
         posts = [
             self._post(entry, path, {"version": version})
@@ -154,31 +159,35 @@
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
 
     async def _follow(self, session: LotSession) -> AsyncIterator[SampleLine]:
-        step = Step.ATTACH
-        while step is not Step.FINISH:
+        step = SessionAction.ATTACH
+        while step is not SessionAction.FINISH:
             attach = session.begin_attach(time.monotonic())
             await asyncio.sleep(attach.delay)
-            step = Step.READ
+            step = SessionAction.READ
             exchange = None
             try:
                 exchange = await self._open(attach)
                 reader = LineReader(exchange)
-                while step in (Step.READ, Step.YIELD):
+                while step in (SessionAction.READ, SessionAction.YIELD):
                     line = decode_line(await _read(reader, session))
                     step = session.on_line(line, time.monotonic())
-                    if step is Step.YIELD:
+                    if step is SessionAction.YIELD:
                         assert isinstance(line, SampleLine)
                         self._acknowledge_soon(session)
                         yield line
-                        step = Step.FINISH if session.received.is_complete else step
+                        step = (
+                            SessionAction.FINISH
+                            if session.received.is_complete
+                            else step
+                        )
             except BuckthornstileError as error:
-                step = session.on_break(time.monotonic(), error)
+                step = session.on_stream_failed(time.monotonic(), error)
             finally:
                 if exchange is not None:
                     exchange.close()
         self._acknowledge_soon(session)
 
-    async def _open(self, attach: Attach) -> Exchange:
+    async def _open(self, attach: AttachAttempt) -> Exchange:
         body = json.dumps(attach.request.to_json()).encode()
         exchange = await self._send(attach.entry, "/v1/lots", body)
         try:
@@ -231,7 +240,7 @@
                     "slots": [[slot.group, slot.index] for slot in slots],
                 }
                 await self._post(session.attach.entry, path, value)
-                received.confirm_acknowledged(slots)
+                received.mark_acknowledged(slots)
         except (BuckthornstileError, TimeoutError):
             # The agents drop the samples by age; nothing is delivered twice.
             return
@@ -241,7 +250,7 @@
 
 async def _read(reader: LineReader, session: LotSession) -> bytes:
     try:
-        async with asyncio.timeout(session.get_patience(time.monotonic())):
+        async with asyncio.timeout(session.get_read_timeout(time.monotonic())):
             line = await reader.read()
     except TimeoutError as error:
         raise make_lost("the entry fell silent") from error
--- a/buckthornstile/client/tests/test_answers.py
+++ b/buckthornstile/client/tests/test_caller.py
@@ -9,14 +9,14 @@
 
 from buckthornstile.base import BuckthornstileError
 from buckthornstile.client import (
-    CallAttempts,
     CallerClient,
-    EventReader,
+    EventStreamParser,
     RetryPolicy,
+    RetryState,
 )
-from buckthornstile.client.tests import fakes
+from buckthornstile.client.tests import fake_entry
 
-scenarios("answers.feature")
+scenarios("caller.feature")
 
 WRONG = "00" * 16
 ERROR = (
@@ -24,29 +24,33 @@
     b'"verdict": "may_have_run"}}\n\n'
 )
 ANSWERS = {
-    "answers whole": fakes.make_whole(200, b"done"),
-    'refuses with "not run"': fakes.make_refusal(429, "load.queue_full", "not_run"),
-    'refuses with "may have run"': fakes.make_refusal(
+    "answers whole": fake_entry.make_whole(200, b"done"),
+    'refuses with "not run"': fake_entry.make_refusal(
+        429, "load.queue_full", "not_run"
+    ),
+    'refuses with "may have run"': fake_entry.make_refusal(
         429, "load.queue_full", "may_have_run"
     ),
-    "refuses the key": fakes.make_refusal(401, "key.withdrawn", "not_run"),
+    "refuses the key": fake_entry.make_refusal(401, "key.withdrawn", "not_run"),
     "closes without an answer": b"",
-    "cuts the answer short": fakes.make_whole(200, b"do", length=4),
-    "answers in chunks": fakes.make_chunked(b"4\r\ndone\r\n0\r\n\r\n"),
-    "cuts an answer in chunks": fakes.make_chunked(b"4\r\ndone\r\n"),
-    "declares no length": fakes.make_stream(b"done"),
-    "ends the stream without a word": fakes.make_stream(fakes.EVENT),
-    "ends the stream with a wrong digest": fakes.make_stream(
-        fakes.EVENT, fakes.make_end(digest=WRONG)
+    "cuts the answer short": fake_entry.make_whole(200, b"do", length=4),
+    "answers in chunks": fake_entry.make_chunked(b"4\r\ndone\r\n0\r\n\r\n"),
+    "cuts an answer in chunks": fake_entry.make_chunked(b"4\r\ndone\r\n"),
+    "declares no length": fake_entry.make_stream(b"done"),
+    "ends the stream without a word": fake_entry.make_stream(fake_entry.EVENT),
+    "ends the stream with a wrong digest": fake_entry.make_stream(
+        fake_entry.EVENT, fake_entry.make_end(digest=WRONG)
+    ),
+    "ends the stream with a wrong length": fake_entry.make_stream(
+        fake_entry.EVENT, fake_entry.make_end(length=3)
     ),
-    "ends the stream with a wrong length": fakes.make_stream(
-        fakes.EVENT, fakes.make_end(length=3)
+    "ends the stream with an error": fake_entry.make_stream(fake_entry.EVENT, ERROR),
+    "goes on after the end": fake_entry.make_stream(
+        fake_entry.EVENT, fake_entry.make_end(), fake_entry.EVENT
     ),
-    "ends the stream with an error": fakes.make_stream(fakes.EVENT, ERROR),
-    "goes on after the end": fakes.make_stream(
-        fakes.EVENT, fakes.make_end(), fakes.EVENT
+    "ends the stream well": fake_entry.make_stream(
+        fake_entry.EVENT, fake_entry.make_end()
     ),
-    "ends the stream well": fakes.make_stream(fakes.EVENT, fakes.make_end()),
 }
 
 
@@ -56,7 +60,7 @@
 
 
 async def run(names, use):
-    entries = [fakes.FakeEntry(lambda *_, n=name: ANSWERS[n]) for name in names]
+    entries = [fake_entry.FakeEntry(lambda *_, n=name: ANSWERS[n]) for name in names]
     async with contextlib.AsyncExitStack() as stack:
         urls = [(await stack.enter_async_context(entry)).url for entry in entries]
         if names[0] == "is not there":
@@ -124,7 +128,7 @@
 
 
 def test_without_the_end_event_a_cut_stream_would_pass_for_whole(monkeypatch):
-    monkeypatch.setattr(EventReader, "finish", lambda self: None)
+    monkeypatch.setattr(EventStreamParser, "finish", lambda self: None)
     seen = call(["ends the stream without a word"], "a streamed")
     assert seen[0] == ([b"one"], "the end")
 
@@ -133,7 +137,7 @@
     def repeat_always(self, error, now):
         return 0.0
 
-    monkeypatch.setattr(CallAttempts, "get_delay", repeat_always)
+    monkeypatch.setattr(RetryState, "get_delay", repeat_always)
     names = ["closes without an answer", "answers whole"]
     assert len(call(names, "a non-idempotent")[1]) == 2
 
@@ -146,10 +150,10 @@
 
 def test_breaking_off_a_stream_logs_no_traceback(caplog):
     event = b"data: " + b"x" * 60_000 + b"\n\n"
-    answer = fakes.make_stream(*[event] * 100)
+    answer = fake_entry.make_stream(*[event] * 100)
 
     async def go():
-        async with fakes.FakeEntry(lambda *_: answer) as entry:
+        async with fake_entry.FakeEntry(lambda *_: answer) as entry:
             client = CallerClient([entry.url], "key")
             async with contextlib.aclosing(client.stream("/v1/completions")) as events:
                 async for _ in events:
--- a/buckthornstile/client/tests/test_trainer.py
+++ b/buckthornstile/client/tests/test_trainer.py
@@ -8,7 +8,7 @@
 
 from buckthornstile.base import BuckthornstileError, ErrorCode
 from buckthornstile.client import SessionPolicy, TrainerClient
-from buckthornstile.client.tests import fakes
+from buckthornstile.client.tests import fake_entry
 from buckthornstile.samples import (
     EndLine,
     ErrorLine,
@@ -56,8 +56,8 @@
 
     def answer(path, headers, body):
         if path != "/v1/lots":
-            return fakes.make_whole(200, b"{}")
-        head = fakes.HEAD.format(200, "").encode()
+            return fake_entry.make_whole(200, b"{}")
+        head = fake_entry.HEAD.format(200, "").encode()
         return [head, *script(json.loads(body))]
 
     return answer
@@ -70,7 +70,7 @@
 
 
 async def run_lot(scripts):
-    entries = [fakes.FakeEntry(serve(script)) for script in scripts]
+    entries = [fake_entry.FakeEntry(serve(script)) for script in scripts]
     async with contextlib.AsyncExitStack() as stack:
         urls = [(await stack.enter_async_context(entry)).url for entry in entries]
         policy = SessionPolicy(silence_timeout=0.3, first_delay=0.001)
--- a/buckthornstile/commands/__init__.py
+++ b/buckthornstile/commands/__init__.py
@@ -1,15 +1,15 @@
 """The command line of daemons and operators."""
 
-from buckthornstile.commands._exit import ExitCode, get_exit_code
+from buckthornstile.commands._exit_codes import ExitCode, get_exit_code
 from buckthornstile.commands._main import main
 from buckthornstile.commands._submit import (
-    ConfigurationReader,
+    ConfigurationClient,
     SubmitResult,
     submit_change,
 )
 
 __all__ = [
-    "ConfigurationReader",
+    "ConfigurationClient",
     "ExitCode",
     "SubmitResult",
     "get_exit_code",
--- a/buckthornstile/commands/_reach.py
+++ b/buckthornstile/commands/_clients.py
@@ -13,7 +13,7 @@
 Fetch = Callable[[str, float], Awaitable[dict[str, Any]]]
 
 
-def make_store(settings: OperatorSettings) -> StoreClient:
+def make_store_client(settings: OperatorSettings) -> StoreClient:
     """Makes a client of the store.
 
     Args:
--- a/buckthornstile/commands/_config.py
+++ b/buckthornstile/commands/_config.py
@@ -7,18 +7,18 @@
 
 from buckthornstile.base import BuckthornstileError, ErrorCode
 from buckthornstile.commands._context import (
-    finish_change,
     make_change_id,
     make_context,
     make_reader,
     parse_flag,
+    wait_and_report_change,
 )
 from buckthornstile.commands._submit import submit_change
 from buckthornstile.configuration import (
     Configuration,
     ConfigurationChange,
     ConfigurationItem,
-    NewKey,
+    GeneratedApiKey,
     apply_change,
 )
 from buckthornstile.sheet import (
@@ -84,14 +84,14 @@
     parsed = read_sheet(sheet)
     allowed = parse_flag("allow_removal", allow_removal)
     reader = make_reader(context)
-    maker = SheetChangeMaker(
+    maker = SheetChangeBuilder(
         parsed, allow_removal=allowed, operator=context.settings.operator
     )
 
     async def run() -> None:
         result = await submit_change(reader, maker.make)
         keys = maker.keys if result.changed else ()
-        await finish_change(
+        await wait_and_report_change(
             context,
             result,
             what="sheet",
@@ -116,9 +116,9 @@
     reader = make_reader(context)
     current = asyncio.run(reader.read())
     items = [_export_item(item) for item in current.list_items()]
-    lines = [f"revision {current.revision}, made at offset {current.through}"]
+    lines = [f"revision {current.revision}, made at offset {current.last_offset}"]
     lines += [_describe_item(item) for item in current.list_items()]
-    data = {"revision": current.revision, "offset": current.through, "items": items}
+    data = {"revision": current.revision, "offset": current.last_offset, "items": items}
     context.show(data, lines)
 
 
@@ -140,7 +140,7 @@
             "put": [f"{item.kind} {item.name}" for item in note.put],
             "remove": [f"{item.kind} {item.name}" for item in note.remove],
         }
-        for note in reader.fold.list_history()
+        for note in reader.fold.list_recent_changes()
     ]
     lines = [
         f"revision {change['revision']} by {change['operator'] or 'unnamed'}: "
@@ -150,7 +150,7 @@
     context.show({"changes": changes}, lines or ["the store holds no change"])
 
 
-class SheetChangeMaker:
+class SheetChangeBuilder:
     """Makes the same change again after a conflict, if the plan still stands.
 
     Args:
@@ -165,7 +165,7 @@
         self.operator = operator
         self.change_id = make_change_id()
         self.plan: SheetPlan | None = None
-        self.keys: tuple[NewKey, ...] = ()
+        self.keys: tuple[GeneratedApiKey, ...] = ()
 
     def make(self, configuration: Configuration) -> ConfigurationChange | None:
         """Makes the change for a configuration, or None if it is in force."""
--- a/buckthornstile/commands/_context.py
+++ b/buckthornstile/commands/_context.py
@@ -7,10 +7,13 @@
 from typing import Any
 
 from buckthornstile.base import BuckthornstileError, ChangeId, ErrorCode
-from buckthornstile.commands._exit import ExitCode
-from buckthornstile.commands._in_force import InForce, wait_in_force
-from buckthornstile.commands._reach import make_store
-from buckthornstile.commands._submit import ConfigurationReader, SubmitResult
+from buckthornstile.commands._clients import make_store_client
+from buckthornstile.commands._exit_codes import ExitCode
+from buckthornstile.commands._propagation import (
+    PropagationStatus,
+    wait_until_propagated,
+)
+from buckthornstile.commands._submit import ConfigurationClient, SubmitResult
 from buckthornstile.settings import OperatorSettings, load_settings
 
 CHANGE_ID_BYTES = 8
@@ -18,7 +21,7 @@
 FALSE_TEXTS = ("false", "no", "0")
 
 
-class CommandEnd(Exception):  # noqa: N818
+class CommandExit(Exception):  # noqa: N818
     """Ends a command with an exit code after its output.
 
     Args:
@@ -66,14 +69,16 @@
     return Context(settings, parse_flag("json", as_json))
 
 
-def make_reader(context: Context) -> ConfigurationReader:
+def make_reader(context: Context) -> ConfigurationClient:
     """Makes the reader of the configuration in the store.
 
     Raises:
         BuckthornstileError: ``store_address`` is not set.
     """
     settings = context.settings
-    return ConfigurationReader(make_store(settings), timeout=settings.store_timeout)
+    return ConfigurationClient(
+        make_store_client(settings), timeout=settings.store_timeout
+    )
 
 
 def parse_flag(name: str, value: object) -> bool:
@@ -111,7 +116,7 @@
     return ChangeId(secrets.token_hex(CHANGE_ID_BYTES))
 
 
-async def finish_change(
+async def wait_and_report_change(
     context: Context,
     result: SubmitResult,
     *,
@@ -129,12 +134,12 @@
         lines: More lines for a person, shown first.
 
     Raises:
-        CommandEnd: It is not yet in force everywhere.
+        CommandExit: It is not yet in force everywhere.
     """
     entries = context.settings.list_entries()
-    in_force = InForce()
+    in_force = PropagationStatus()
     if entries:
-        in_force = await wait_in_force(
+        in_force = await wait_until_propagated(
             entries, result, timeout=context.settings.wait_timeout
         )
     state = "accepted" if result.changed else "nothing to change"
@@ -151,10 +156,10 @@
         shown,
     )
     if in_force.behind:
-        raise CommandEnd(ExitCode.NOT_IN_FORCE)
+        raise CommandExit(ExitCode.NOT_IN_FORCE)
 
 
-def _describe(in_force: InForce) -> str:
+def _describe(in_force: PropagationStatus) -> str:
     if not in_force.asked:
         return "no entries were asked whether it is in force (see --entries)"
     if not in_force.behind:
--- a/buckthornstile/commands/_story.py
+++ b/buckthornstile/commands/_event_search.py
@@ -32,14 +32,14 @@
             ) from error
 
 
-def find_story(
+def find_related_events(
     lines: list[dict[str, Any]], subject: str, *, with_context: bool = False
 ) -> list[dict[str, Any]]:
     """Finds the lines that name an id, and if asked those around them.
 
     Example:
         >>> lines = [{"time": "1", "event": "a", "job": "j1", "process": "e1"}]
-        >>> [line["event"] for line in find_story(lines, "j1")]
+        >>> [line["event"] for line in find_related_events(lines, "j1")]
         ['a']
     """
     named = [line for line in lines if _names(line, subject)]
--- a/buckthornstile/commands/_keys.py
+++ b/buckthornstile/commands/_keys.py
@@ -13,10 +13,10 @@
 )
 from buckthornstile.commands._context import (
     Context,
-    finish_change,
     make_change_id,
     make_context,
     make_reader,
+    wait_and_report_change,
 )
 from buckthornstile.commands._submit import MakeChange, submit_change
 from buckthornstile.configuration import (
@@ -24,8 +24,8 @@
     ConfigurationChange,
     ConfigurationItem,
     Drain,
-    ItemName,
-    make_key,
+    ItemReference,
+    generate_api_key,
 )
 
 
@@ -49,7 +49,9 @@
             operator.
     """
     context = make_context(flags, json)
-    key = make_key(AccountId(account), token_bytes=secrets.token_bytes, name=name)
+    key = generate_api_key(
+        AccountId(account), token_bytes=secrets.token_bytes, name=name
+    )
     change_id = make_change_id()
 
     def make(configuration: Configuration) -> ConfigurationChange | None:
@@ -68,7 +70,7 @@
         reader = make_reader(context)
         result = await submit_change(reader, make)
         shown = result.changed
-        await finish_change(
+        await wait_and_report_change(
             context,
             result,
             what=f"key {key.item.name}",
@@ -147,7 +149,7 @@
         return ConfigurationChange(
             change_id=change_id,
             base_revision=configuration.revision,
-            remove=(ItemName(kind="drain", name=name),),
+            remove=(ItemReference(kind="drain", name=name),),
             operator=context.settings.operator,
         )
 
@@ -177,7 +179,7 @@
     async def run() -> None:
         reader = make_reader(context)
         result = await submit_change(reader, make)
-        await finish_change(context, result, what=what)
+        await wait_and_report_change(context, result, what=what)
 
     asyncio.run(run())
 
--- a/buckthornstile/commands/_main.py
+++ b/buckthornstile/commands/_main.py
@@ -23,17 +23,17 @@
     show_history,
     show_plan,
 )
-from buckthornstile.commands._context import CommandEnd
-from buckthornstile.commands._daemons import (
+from buckthornstile.commands._context import CommandExit
+from buckthornstile.commands._exit_codes import ExitCode, get_exit_code
+from buckthornstile.commands._keys import add_key, drain, restore, withdraw_key
+from buckthornstile.commands._processes import (
     check_settings,
     document_settings,
     run_entry,
     run_platform_entry,
 )
-from buckthornstile.commands._exit import ExitCode, get_exit_code
-from buckthornstile.commands._keys import add_key, drain, restore, withdraw_key
-from buckthornstile.commands._views import explain, show_status, show_usage
-from buckthornstile.logs import hide_keys
+from buckthornstile.commands._queries import explain, show_status, show_usage
+from buckthornstile.logs import redact_keys
 
 NAME = "buckthornstile"
 HELP_FLAGS = ("-h", "--help")
@@ -91,7 +91,7 @@
     except BuckthornstileError as error:
         _show_error(error, as_json=as_json)
         return get_exit_code(error.code)
-    except CommandEnd as end:
+    except CommandExit as end:
         return end.exit_code
     except KeyboardInterrupt:
         return ExitCode.INTERNAL
@@ -196,7 +196,7 @@
 
 
 def _show_error(error: BuckthornstileError, *, as_json: bool) -> None:
-    message = hide_keys(error.message)
+    message = redact_keys(error.message)
     if as_json:
         print(json.dumps({"ok": False, "code": error.code.value, "message": message}))
     else:
--- a/buckthornstile/commands/_in_force.py
+++ b/buckthornstile/commands/_propagation.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from buckthornstile.base import BuckthornstileError
-from buckthornstile.commands._reach import Fetch, fetch_json
+from buckthornstile.commands._clients import Fetch, fetch_json
 from buckthornstile.commands._submit import Sleep, SubmitResult
 
 POLL_INTERVAL = 0.2
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
+class PropagationStatus:
     """Where a change is in force.
 
     Args:
@@ -32,7 +32,7 @@
     waited: float = 0.0
 
 
-async def wait_in_force(
+async def wait_until_propagated(
     entries: Sequence[str],
     result: SubmitResult,
     *,
@@ -40,7 +40,7 @@
     fetch: Fetch = fetch_json,
     clock: Callable[[], float] = time.monotonic,
     sleep: Sleep = asyncio.sleep,
-) -> InForce:
+) -> PropagationStatus:
     """Waits until every entry has a change, or time is up.
 
     Args:
@@ -62,7 +62,7 @@
         if not behind or clock() - started >= timeout:
             break
         await sleep(POLL_INTERVAL)
-    return InForce(len(entries), behind, clock() - started)
+    return PropagationStatus(len(entries), behind, clock() - started)
 
 
 async def _ask(url: str, result: SubmitResult, fetch: Fetch) -> list[str]:
@@ -70,10 +70,12 @@
         status = await fetch(f"{url}/v1/status", FETCH_TIMEOUT)
     except BuckthornstileError:
         return [f"{url} (no answer)"]
-    return find_behind(url, status, result)
+    return find_outdated_processes(url, status, result)
 
 
-def find_behind(url: str, status: dict[str, Any], result: SubmitResult) -> list[str]:
+def find_outdated_processes(
+    url: str, status: dict[str, Any], result: SubmitResult
+) -> list[str]:
     """Finds the processes that a status shows without the change.
 
     Args:
@@ -87,7 +89,7 @@
     Example:
         >>> result = SubmitResult(2, 7, True)
         >>> status = {"configuration": {"revision": 2}}
-        >>> find_behind("http://127.0.0.1:1", status, result)
+        >>> find_outdated_processes("http://127.0.0.1:1", status, result)
         []
     """
     configuration = status.get("configuration")
--- a/buckthornstile/commands/_views.py
+++ b/buckthornstile/commands/_queries.py
@@ -6,27 +6,27 @@
 
 from buckthornstile.base import BuckthornstileError, ErrorCode
 from buckthornstile.clock import read_boottime
+from buckthornstile.commands._clients import fetch_json, make_store_client
 from buckthornstile.commands._context import (
-    CommandEnd,
+    CommandExit,
     Context,
     make_context,
     parse_flag,
 )
-from buckthornstile.commands._exit import ExitCode
-from buckthornstile.commands._reach import fetch_json, make_store
-from buckthornstile.commands._story import (
-    find_story,
+from buckthornstile.commands._event_search import (
+    find_related_events,
     get_time,
     read_events,
     render_line,
 )
+from buckthornstile.commands._exit_codes import ExitCode
 from buckthornstile.duties import (
     DUTY_TOPIC,
-    DutyFold,
+    DutyState,
     SealRecord,
     decode_duty_record,
 )
-from buckthornstile.platform import HistoryDroppedError, StoreClient
+from buckthornstile.platform import OffsetOutOfRangeError, StoreClient
 
 FETCH_TIMEOUT = 5.0
 """Time to wait for an entry's answer, in seconds."""
@@ -82,7 +82,7 @@
         **flags: Settings: store_address, store_timeout.
     """
     context = make_context(flags, json)
-    seals = asyncio.run(_read_seals(make_store(context.settings)))
+    seals = asyncio.run(_read_seals(make_store_client(context.settings)))
     windows = [
         {
             "window": seal.window,
@@ -102,12 +102,12 @@
 
 
 async def _read_seals(store: StoreClient) -> dict[int, SealRecord]:
-    fold = DutyFold(read_boottime)
+    fold = DutyState(read_boottime)
     position = 0
     while True:
         try:
             data = await store.read(DUTY_TOPIC, 0, position)
-        except HistoryDroppedError as error:
+        except OffsetOutOfRangeError as error:
             position = error.first
             continue
         for offset, record in data.records:
@@ -128,7 +128,7 @@
     ordered = sorted(lines, key=get_time)
     chosen = ordered
     if subject:
-        chosen = find_story(ordered, subject, with_context=with_context)
+        chosen = find_related_events(ordered, subject, with_context=with_context)
     if not chosen and not errors:
         raise BuckthornstileError(
             ErrorCode.SETTING_INVALID, f"no event line names {subject!r}"
@@ -138,7 +138,7 @@
     shown += [f"{url} gave no answer: {reason}" for url, reason in errors.items()]
     context.show({"events": chosen, "errors": errors}, shown)
     if errors:
-        raise CommandEnd(ExitCode.PLATFORM_UNAVAILABLE)
+        raise CommandExit(ExitCode.PLATFORM_UNAVAILABLE)
 
 
 def _ask_entries(context: Context, path: str) -> tuple[dict[str, Any], dict[str, str]]:
@@ -162,7 +162,7 @@
             lines += _render(answers[url], depth=1)
     context.show({"entries": answers, "errors": errors}, lines)
     if errors:
-        raise CommandEnd(ExitCode.PLATFORM_UNAVAILABLE)
+        raise CommandExit(ExitCode.PLATFORM_UNAVAILABLE)
 
 
 async def _fetch_all(
--- a/buckthornstile/commands/_submit.py
+++ b/buckthornstile/commands/_submit.py
@@ -14,13 +14,13 @@
 from buckthornstile.configuration import (
     Configuration,
     ConfigurationChange,
-    ConfigurationFold,
+    ConfigurationState,
     apply_change,
     encode_change,
 )
 from buckthornstile.platform import (
     CONFIGURATION_TOPIC,
-    AppendRefusedError,
+    AppendConflictError,
     StoreClient,
     encode_keyed_record,
 )
@@ -48,7 +48,7 @@
     changed: bool
 
 
-class ConfigurationReader:
+class ConfigurationClient:
     """Reads the configuration as the store holds it.
 
     Args:
@@ -59,7 +59,7 @@
     def __init__(self, store: StoreClient, *, timeout: float = 2.0) -> None:
         self.store = store
         self.timeout = timeout
-        self.fold = ConfigurationFold()
+        self.fold = ConfigurationState()
         self.end = 0
 
     async def read(self) -> Configuration:
@@ -70,10 +70,10 @@
             BuckthornstileError: ``CONFIGURATION_INVALID``: a record is malformed.
         """
         while True:
-            records, self.end = await self.store.read_newest(
+            records, self.end = await self.store.read_latest(
                 CONFIGURATION_TOPIC, 0, timeout=self.timeout
             )
-            fold = ConfigurationFold()
+            fold = ConfigurationState()
             try:
                 for record in sorted(records, key=lambda one: one.offset):
                     fold.apply(Offset(record.offset), record.key, record.value)
@@ -84,7 +84,7 @@
                 ) from None
             # Pages are no snapshot: a change between them shows as a later record.
             if all(record.offset < self.end for record in records):
-                fold.settle()
+                fold.commit()
                 self.fold = fold
                 return fold.current
 
@@ -92,7 +92,7 @@
         """Appends a change, if the store stands as it was read.
 
         Raises:
-            AppendRefusedError: It does not.
+            AppendConflictError: It does not.
             PlatformUnavailableError: The outcome is not known, or it was refused.
         """
         records = [
@@ -105,7 +105,7 @@
 
 
 async def submit_change(
-    reader: ConfigurationReader,
+    reader: ConfigurationClient,
     make_change: MakeChange,
     *,
     sleep: Sleep = asyncio.sleep,
@@ -156,7 +156,7 @@
 class _Attempt:
     """One change over all its attempts."""
 
-    def __init__(self, reader: ConfigurationReader, make_change: MakeChange) -> None:
+    def __init__(self, reader: ConfigurationClient, make_change: MakeChange) -> None:
         self.reader = reader
         self.make_change = make_change
         self.may_have_run = False
@@ -170,14 +170,14 @@
             return found
         change = self.make_change(current)
         if change is None:
-            return SubmitResult(current.revision, current.through, False)
+            return SubmitResult(current.revision, current.last_offset, False)
         # The store must not hold what no reader could put in force.
         apply_change(current, change, offset=0)
         self._made = change
         try:
             await self.reader.append(change)
             self.may_have_run = True
-        except AppendRefusedError:
+        except AppendConflictError:
             return None
         except PlatformUnavailableError as error:
             self.may_have_run |= error.may_have_taken_effect
@@ -188,7 +188,7 @@
     def _find_result(self) -> SubmitResult | None:
         if self._made is None:
             return None
-        revision = self.reader.fold.find_change(self._made.change_id)
+        revision = self.reader.fold.find_revision(self._made.change_id)
         if revision is None:
             return None
-        return SubmitResult(revision, self.reader.fold.current.through, True)
+        return SubmitResult(revision, self.reader.fold.current.last_offset, True)
--- a/buckthornstile/commands/tests/stores.py
+++ b/buckthornstile/commands/tests/fake_store.py
@@ -2,18 +2,18 @@
 
 from buckthornstile.base import Offset, PlatformUnavailableError
 from buckthornstile.configuration import (
-    ConfigurationFold,
+    ConfigurationState,
     encode_change,
 )
 from buckthornstile.platform import (
     CONFIGURATION_TOPIC,
-    AppendRefusedError,
-    LogSlice,
-    StoredRecord,
+    AppendConflictError,
+    FetchResult,
+    KeyedRecord,
     decode_keyed_record,
     encode_keyed_record,
 )
-from standins.store import Partition, Refused
+from standins.store import AppendRejectedError, Partition
 
 
 class MemoryStore:
@@ -40,13 +40,13 @@
         )
 
     def fold(self):
-        fold = ConfigurationFold()
+        fold = ConfigurationState()
         for offset, (_, record) in enumerate(
             self.configuration.records, self.configuration.first
         ):
             keyed = decode_keyed_record(offset, record)
             fold.apply(Offset(offset), keyed.key, keyed.value)
-        fold.settle()
+        fold.commit()
         return fold
 
     async def append(
@@ -77,14 +77,14 @@
     def _take(self, topic, records, at):
         try:
             self.get(topic).append(records, at=at)
-        except Refused as refused:
-            raise AppendRefusedError("end", refused.fields["end"]) from refused
+        except AppendRejectedError as refused:
+            raise AppendConflictError("end", refused.fields["end"]) from refused
 
-    async def read_newest(self, topic, part, *, timeout=1.0):
+    async def read_latest(self, topic, part, *, timeout=1.0):
         self._check_outage()
         partition = self.get(topic)
         records = [
-            StoredRecord(offset, key.decode(), value)
+            KeyedRecord(offset, key.decode(), value)
             for key, (offset, value) in partition.newest.items()
         ]
         return records, partition.end
@@ -97,7 +97,7 @@
             for offset, (_, record) in enumerate(partition.records, partition.first)
             if offset >= start
         )
-        return LogSlice(found, partition.end, partition.end)
+        return FetchResult(found, partition.end, partition.end)
 
     def _check_outage(self):
         if self.reads_before_outage is not None:
@@ -109,9 +109,9 @@
 def put_in_place(monkeypatch, store):
     """Puts a store in the platform's place and takes out the pauses."""
     monkeypatch.setattr(
-        "buckthornstile.commands._context.make_store", lambda settings: store
+        "buckthornstile.commands._context.make_store_client", lambda settings: store
     )
     monkeypatch.setattr(
-        "buckthornstile.commands._views.make_store", lambda settings: store
+        "buckthornstile.commands._queries.make_store_client", lambda settings: store
     )
     monkeypatch.setattr("buckthornstile.commands._submit.PAUSE", 0)
--- a/buckthornstile/commands/tests/test_change.py
+++ b/buckthornstile/commands/tests/test_change.py
@@ -6,7 +6,7 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from buckthornstile.commands import ExitCode, main
-from buckthornstile.commands.tests.stores import MemoryStore, put_in_place
+from buckthornstile.commands.tests.fake_store import MemoryStore, put_in_place
 from buckthornstile.configuration import Account, ConfigurationChange, Drain
 
 scenarios("change.feature")
@@ -104,6 +104,6 @@
     if world.exit_code == ExitCode.BAD_INPUT:
         assert times == 0
         return
-    notes = world.store.fold().list_history()
+    notes = world.store.fold().list_recent_changes()
     drains = [note for note in notes if any(item.kind == "drain" for item in note.put)]
     assert len(drains) == times
--- a/buckthornstile/commands/tests/test_commands.py
+++ b/buckthornstile/commands/tests/test_commands.py
@@ -7,10 +7,10 @@
 import pytest
 
 from buckthornstile.commands import ExitCode, SubmitResult, main
-from buckthornstile.commands._in_force import wait_in_force
 from buckthornstile.commands._main import COMMANDS
-from buckthornstile.commands.tests.stores import MemoryStore, put_in_place
-from buckthornstile.configuration import hash_key
+from buckthornstile.commands._propagation import wait_until_propagated
+from buckthornstile.commands.tests.fake_store import MemoryStore, put_in_place
+from buckthornstile.configuration import hash_api_key
 from buckthornstile.duties import DUTY_TOPIC, SealRecord, encode_duty_record
 
 SHEET = str(pathlib.Path(__file__).parents[3] / "examples" / "sheet.csv")
@@ -37,7 +37,7 @@
     _, applied = run(capsys, "config", "apply", SHEET)
     clear = applied["keys"]["mill-7-clerks"]
     current = store.fold().current
-    assert current.find_key(hash_key(clear)).account == "mill-7"
+    assert current.find_api_key(hash_api_key(clear)).account == "mill-7"
     assert run(capsys, "config", "apply", SHEET)[1]["changed"] is False
     _, added = run(capsys, "keys", "add", "mill-7", "--name", "1_0")
     assert list(added["keys"]) == ["1_0"]
@@ -52,7 +52,7 @@
     assert [c["revision"] for c in history["changes"]] == [1, 2, 3, 4, 5]
     assert history["changes"][3]["operator"] == "ann"
     shown = json.dumps([run(capsys, "config", "show"), history])
-    assert clear not in shown and hash_key(clear) not in shown
+    assert clear not in shown and hash_api_key(clear) not in shown
     assert clear.encode() not in b"".join(
         record for _, record in store.configuration.records
     )
@@ -66,7 +66,7 @@
     for _ in range(2):
         _, added = run(capsys, "keys", "add", "mill-7")
         ((name, clear),) = added["keys"].items()
-        assert store.fold().current.find_key(hash_key(clear)).name == name
+        assert store.fold().current.find_api_key(hash_api_key(clear)).name == name
     assert store.fold().current.revision == 3
 
 
@@ -146,7 +146,7 @@
 
     def wait(timeout):
         return asyncio.run(
-            wait_in_force(
+            wait_until_propagated(
                 ["http://127.0.0.1:1"],
                 SubmitResult(2, 7, True),
                 timeout=timeout,
@@ -178,7 +178,7 @@
 def test_daemons_get_checked_settings(monkeypatch, capsys):
     started = []
     monkeypatch.setattr(
-        "buckthornstile.commands._daemons.run_entry_process", started.append
+        "buckthornstile.commands._processes.run_entry_process", started.append
     )
     words = ["entry", "--process=1_0", "--failure-domain=bench-a"]
     words += ["--api_address", "127.0.0.1:0"]
--- a/buckthornstile/configuration/__init__.py
+++ b/buckthornstile/configuration/__init__.py
@@ -1,30 +1,34 @@
 """The operators' configuration: keys, rules, drains, and how it changes."""
 
+from buckthornstile.configuration._api_keys import (
+    GeneratedApiKey,
+    generate_api_key,
+    hash_api_key,
+)
 from buckthornstile.configuration._change import ChangeError, apply_change
-from buckthornstile.configuration._fold import ConfigurationFold
 from buckthornstile.configuration._items import (
     ANY_ACCOUNT,
     ANY_TRAINER,
     Account,
+    ApiKey,
     ConfigurationChange,
     ConfigurationItem,
     Drain,
-    ItemName,
-    Key,
+    ItemReference,
     OpenRoute,
     Rule,
 )
-from buckthornstile.configuration._keys import NewKey, hash_key, make_key
 from buckthornstile.configuration._model import (
     EMPTY_CONFIGURATION,
     Configuration,
     make_configuration,
 )
 from buckthornstile.configuration._records import (
-    ChangeNote,
-    KeyedValue,
+    ChangeSummary,
+    ConfigurationRecord,
     encode_change,
 )
+from buckthornstile.configuration._state import ConfigurationState
 
 __all__ = [
     "ANY_ACCOUNT",
@@ -32,21 +36,21 @@
     "EMPTY_CONFIGURATION",
     "Account",
     "ChangeError",
-    "ChangeNote",
+    "ChangeSummary",
     "Configuration",
     "ConfigurationChange",
-    "ConfigurationFold",
+    "ConfigurationState",
     "ConfigurationItem",
     "Drain",
-    "ItemName",
-    "Key",
-    "KeyedValue",
-    "NewKey",
+    "ItemReference",
+    "ApiKey",
+    "ConfigurationRecord",
+    "GeneratedApiKey",
     "OpenRoute",
     "Rule",
     "apply_change",
     "encode_change",
-    "hash_key",
+    "hash_api_key",
     "make_configuration",
-    "make_key",
+    "generate_api_key",
 ]
--- a/buckthornstile/configuration/_keys.py
+++ b/buckthornstile/configuration/_api_keys.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from buckthornstile.base import AccountId, KeyId
-from buckthornstile.configuration._items import Key
+from buckthornstile.configuration._items import ApiKey
 
 KEY_PREFIX = "bk_"
 KEY_BYTES = 32
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NewKey:
+class GeneratedApiKey:
     """A key at the one moment when its clear text is known.
 
     Args:
@@ -23,10 +23,10 @@
     """
 
     clear: str = field(repr=False)
-    item: Key
+    item: ApiKey
 
 
-def hash_key(text: str) -> str:
+def hash_api_key(text: str) -> str:
     """Digests a key's clear text.
 
     A key holds 256 random bits, so a plain digest cannot be searched.
@@ -38,15 +38,15 @@
         The SHA-256 digest, 64 hexadecimal digits.
 
     Example:
-        >>> hash_key("bk_example")[:12]
+        >>> hash_api_key("bk_example")[:12]
         'e361cf32a4f3'
     """
     return hashlib.sha256(text.encode("utf-8", "surrogatepass")).hexdigest()
 
 
-def make_key(
+def generate_api_key(
     account: AccountId, *, token_bytes: Callable[[int], bytes], name: str = ""
-) -> NewKey:
+) -> GeneratedApiKey:
     """Makes a key for a client account.
 
     Args:
@@ -59,11 +59,13 @@
         The key in clear and its configuration item.
 
     Example:
-        >>> key = make_key(AccountId("mill-7"), token_bytes=lambda n: bytes(n))
-        >>> key.item.name, key.item.digest == hash_key(key.clear)
+        >>> key = generate_api_key(AccountId("mill-7"), token_bytes=lambda n: bytes(n))
+        >>> key.item.name, key.item.digest == hash_api_key(key.clear)
         ('mill-7-00000000', True)
     """
     secret = base64.urlsafe_b64encode(token_bytes(KEY_BYTES)).rstrip(b"=")
     clear = KEY_PREFIX + secret.decode("ascii")
     key_id = KeyId(name or f"{account}-{token_bytes(KEY_ID_BYTES).hex()}")
-    return NewKey(clear, Key(name=key_id, account=account, digest=hash_key(clear)))
+    return GeneratedApiKey(
+        clear, ApiKey(name=key_id, account=account, digest=hash_api_key(clear))
+    )
--- a/buckthornstile/configuration/_change.py
+++ b/buckthornstile/configuration/_change.py
@@ -14,9 +14,9 @@
 from buckthornstile.configuration._items import (
     ANY_ACCOUNT,
     Account,
+    ApiKey,
     ConfigurationChange,
     ConfigurationItem,
-    Key,
     OpenRoute,
     Rule,
 )
@@ -85,11 +85,11 @@
         if items.pop((name.kind, name.name), None) is None:
             raise _make_error(f"{name.kind} {name.name} does not exist")
     for item in change.put:
-        if isinstance(item, Key):
+        if isinstance(item, ApiKey):
             _check_key(configuration, item)
         items[(item.kind, item.name)] = item
     after = make_configuration(
-        items.values(), revision=configuration.revision + 1, through=Offset(offset)
+        items.values(), revision=configuration.revision + 1, last_offset=Offset(offset)
     )
     _check_items(change.put)
     _check_references(after)
@@ -119,7 +119,7 @@
             raise _make_error(f"{kind} {name} stands {count} times in one change")
 
 
-def _check_key(configuration: Configuration, key: Key) -> None:
+def _check_key(configuration: Configuration, key: ApiKey) -> None:
     before = configuration.keys.get(key.name)
     if before is None:
         return
--- a/buckthornstile/configuration/_items.py
+++ b/buckthornstile/configuration/_items.py
@@ -41,7 +41,7 @@
     maximum_open: int = Field(default=256, ge=1, le=100_000)
 
 
-class Key(_Item):
+class ApiKey(_Item):
     """A client account's key, known by its digest only.
 
     Args:
@@ -51,7 +51,7 @@
         withdrawn: Whether the key has stopped working. Never reverts.
 
     Example:
-        >>> Key(name="k1", account="mill-7", digest="0" * 64).withdrawn
+        >>> ApiKey(name="k1", account="mill-7", digest="0" * 64).withdrawn
         False
     """
 
@@ -81,7 +81,7 @@
     name: str = Field(pattern=r"^/")
     service: ServiceName
     account: AccountId
-    request_class: RequestClass = RequestClass.WAITED
+    request_class: RequestClass = RequestClass.INTERACTIVE
     idempotent: bool = True
 
 
@@ -112,7 +112,7 @@
     account: AccountId = ANY_ACCOUNT
     trainer: str = ANY_TRAINER
     service: ServiceName
-    request_class: RequestClass = RequestClass.WAITED
+    request_class: RequestClass = RequestClass.INTERACTIVE
     idempotent: bool = False
     maximum_age: int = Field(default=1, ge=0, le=1000)
 
@@ -135,16 +135,16 @@
 
 
 ConfigurationItem = Annotated[
-    Account | Key | OpenRoute | Rule | Drain, Field(discriminator="kind")
+    Account | ApiKey | OpenRoute | Rule | Drain, Field(discriminator="kind")
 ]
 ItemKind = Literal["account", "key", "open_route", "rule", "drain"]
 
 
-class ItemName(_Item):
+class ItemReference(_Item):
     """The kind and name by which an item is removed.
 
     Example:
-        >>> ItemName(kind="drain", name="bench-a").name
+        >>> ItemReference(kind="drain", name="bench-a").name
         'bench-a'
     """
 
@@ -172,5 +172,5 @@
     change_id: ChangeId
     base_revision: Revision
     put: tuple[ConfigurationItem, ...] = ()
-    remove: tuple[ItemName, ...] = ()
+    remove: tuple[ItemReference, ...] = ()
     operator: str = ""
--- a/buckthornstile/configuration/_model.py
+++ b/buckthornstile/configuration/_model.py
@@ -15,9 +15,9 @@
     ANY_ACCOUNT,
     ANY_TRAINER,
     Account,
+    ApiKey,
     ConfigurationItem,
     Drain,
-    Key,
     OpenRoute,
     Rule,
 )
@@ -31,7 +31,7 @@
 
     Args:
         revision: The number of accepted changes that made it.
-        through: The offset of the record that made it.
+        last_offset: The offset of the record that made it.
         accounts: Client accounts by name.
         keys: Keys by public id, also the withdrawn ones.
         open_routes: Open routes by path.
@@ -45,23 +45,23 @@
     """
 
     revision: Revision = Revision(0)
-    through: Offset = NO_OFFSET
+    last_offset: Offset = NO_OFFSET
     accounts: Mapping[AccountId, Account] = field(default_factory=dict)
-    keys: Mapping[KeyId, Key] = field(default_factory=dict)
+    keys: Mapping[KeyId, ApiKey] = field(default_factory=dict)
     open_routes: Mapping[str, OpenRoute] = field(default_factory=dict)
     rules: Mapping[str, Rule] = field(default_factory=dict)
     drains: Mapping[FailureDomain, Drain] = field(default_factory=dict)
-    _keys_by_digest: Mapping[str, Key] = field(
+    _keys_by_digest: Mapping[str, ApiKey] = field(
         default_factory=dict, repr=False, compare=False
     )
     _rules_by_path: RuleIndex = field(default_factory=dict, repr=False, compare=False)
     _longest_path: int = field(default=0, repr=False, compare=False)
 
-    def find_key(self, digest: str) -> Key | None:
+    def find_api_key(self, digest: str) -> ApiKey | None:
         """Finds a key by its digest; it may be withdrawn.
 
         Example:
-            >>> EMPTY_CONFIGURATION.find_key("0" * 64) is None
+            >>> EMPTY_CONFIGURATION.find_api_key("0" * 64) is None
             True
         """
         return self._keys_by_digest.get(digest)
@@ -157,14 +157,14 @@
     items: Iterable[ConfigurationItem],
     *,
     revision: int = 0,
-    through: int = NO_OFFSET,
+    last_offset: int = NO_OFFSET,
 ) -> Configuration:
     """Makes a configuration of items that were checked before.
 
     Args:
         items: The items, in any order.
         revision: The number of accepted changes that made it.
-        through: The offset of the record that made it.
+        last_offset: The offset of the record that made it.
 
     Returns:
         The configuration with its indexes.
@@ -174,7 +174,7 @@
         3
     """
     every = tuple(items)
-    keys = [item for item in every if isinstance(item, Key)]
+    keys = [item for item in every if isinstance(item, ApiKey)]
     rules = [item for item in every if isinstance(item, Rule)]
     index: dict[str, dict[tuple[str, str], Rule]] = {}
     for rule in rules:
@@ -182,7 +182,7 @@
         by_caller[(rule.account, rule.trainer)] = rule
     return Configuration(
         revision=Revision(revision),
-        through=Offset(through),
+        last_offset=Offset(last_offset),
         accounts={i.name: i for i in every if isinstance(i, Account)},
         keys={key.name: key for key in keys},
         open_routes={i.name: i for i in every if isinstance(i, OpenRoute)},
--- a/buckthornstile/configuration/_records.py
+++ b/buckthornstile/configuration/_records.py
@@ -14,7 +14,7 @@
 from buckthornstile.configuration._items import (
     ConfigurationChange,
     ConfigurationItem,
-    ItemName,
+    ItemReference,
 )
 
 KEPT_CHANGES = 64
@@ -26,14 +26,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeyedValue:
+class ConfigurationRecord:
     """A record of the topic; an empty value drops the key."""
 
     key: str
     value: bytes
 
 
-class ChangeNote(BaseModel):
+class ChangeSummary(BaseModel):
     """What is kept of an accepted change.
 
     Args:
@@ -44,7 +44,7 @@
         remove: Kind and name of each item removed.
 
     Example:
-        >>> ChangeNote(revision=1, change_id="c1").put
+        >>> ChangeSummary(revision=1, change_id="c1").put
         ()
     """
 
@@ -52,11 +52,11 @@
     revision: Revision
     change_id: ChangeId
     operator: str = ""
-    put: tuple[ItemName, ...] = ()
-    remove: tuple[ItemName, ...] = ()
+    put: tuple[ItemReference, ...] = ()
+    remove: tuple[ItemReference, ...] = ()
 
 
-def encode_change(change: ConfigurationChange) -> list[KeyedValue]:
+def encode_change(change: ConfigurationChange) -> list[ConfigurationRecord]:
     """Encodes an accepted change as the records of one append.
 
     Args:
@@ -71,22 +71,23 @@
         ['change/1']
     """
     revision = Revision(change.base_revision + 1)
-    note = ChangeNote(
+    note = ChangeSummary(
         revision=revision,
         change_id=change.change_id,
         operator=change.operator,
-        put=tuple(ItemName(kind=item.kind, name=item.name) for item in change.put),
+        put=tuple(ItemReference(kind=item.kind, name=item.name) for item in change.put),
         remove=change.remove,
     )
     records = [
-        KeyedValue(make_item_key(item.kind, item.name), _ITEM.dump_json(item))
+        ConfigurationRecord(make_item_key(item.kind, item.name), _ITEM.dump_json(item))
         for item in change.put
     ]
     records += [
-        KeyedValue(make_item_key(name.kind, name.name), b"") for name in change.remove
+        ConfigurationRecord(make_item_key(name.kind, name.name), b"")
+        for name in change.remove
     ]
     key = f"{CHANGE_PREFIX}{revision % KEPT_CHANGES}"
-    return [*records, KeyedValue(key, note.model_dump_json().encode())]
+    return [*records, ConfigurationRecord(key, note.model_dump_json().encode())]
 
 
 def decode_item(value: bytes) -> ConfigurationItem:
--- a/buckthornstile/configuration/_fold.py
+++ b/buckthornstile/configuration/_state.py
@@ -10,12 +10,12 @@
 from buckthornstile.configuration._records import (
     CHANGE_PREFIX,
     ITEM_PREFIX,
-    ChangeNote,
+    ChangeSummary,
     decode_item,
 )
 
 
-class ConfigurationFold:
+class ConfigurationState:
     """Folds the records of the configuration's topic.
 
     Records are gathered as they come, and put in force together once the reader has
@@ -23,18 +23,18 @@
     answers with an older state changes nothing.
 
     Example:
-        >>> fold = ConfigurationFold()
-        >>> fold.settle(), fold.current.revision
+        >>> fold = ConfigurationState()
+        >>> fold.commit(), fold.current.revision
         (False, 0)
     """
 
     def __init__(self) -> None:
         self.current: Configuration = EMPTY_CONFIGURATION
         self._items: dict[str, ConfigurationItem] = {}
-        self._notes: dict[str, ChangeNote] = {}
+        self._notes: dict[str, ChangeSummary] = {}
         self._through = Offset(-1)
 
-    def start_over(self) -> None:
+    def reset(self) -> None:
         """Forgets the gathered records, before the newest of all are read again."""
         self._items.clear()
         self._notes.clear()
@@ -57,12 +57,12 @@
             else:
                 self._items[key] = decode_item(value)
         elif key.startswith(CHANGE_PREFIX) and value is not None:
-            self._notes[key] = ChangeNote.model_validate_json(value)
+            self._notes[key] = ChangeSummary.model_validate_json(value)
             self._through = max(self._through, offset)
         elif not key.startswith(CHANGE_PREFIX):
             raise ValueError(f"key {key!r} names no record of the configuration")
 
-    def settle(self) -> bool:
+    def commit(self) -> bool:
         """Puts what was gathered in force, at the end of the topic.
 
         Returns:
@@ -72,17 +72,17 @@
         if revision <= self.current.revision:
             return False
         self.current = make_configuration(
-            self._items.values(), revision=revision, through=self._through
+            self._items.values(), revision=revision, last_offset=self._through
         )
         return True
 
-    def find_change(self, change_id: ChangeId) -> Revision | None:
+    def find_revision(self, change_id: ChangeId) -> Revision | None:
         """Finds the revision that a recent change made, or None."""
         for note in self._notes.values():
             if note.change_id == change_id:
                 return note.revision
         return None
 
-    def list_history(self) -> list[ChangeNote]:
+    def list_recent_changes(self) -> list[ChangeSummary]:
         """Lists the recent changes, the oldest first."""
         return sorted(self._notes.values(), key=lambda note: note.revision)
--- a/buckthornstile/configuration/tests/stores.py
+++ b/buckthornstile/configuration/tests/memory_store.py
@@ -2,13 +2,13 @@
 
 from buckthornstile.configuration import (
     ConfigurationChange,
-    ConfigurationFold,
+    ConfigurationState,
     Drain,
-    ItemName,
+    ItemReference,
     apply_change,
     encode_change,
 )
-from standins.store import Partition, Refused
+from standins.store import AppendRejectedError, Partition
 
 
 class MemoryStore:
@@ -22,7 +22,7 @@
         records = [pack(one.key, one.value) for one in encode_change(change)]
         try:
             self.partition.append(records, at=at)
-        except Refused:
+        except AppendRejectedError:
             return False
         return True
 
@@ -43,7 +43,7 @@
 
     def __init__(self, store, fold=None):
         self.store = store
-        self.fold = fold or ConfigurationFold()
+        self.fold = fold or ConfigurationState()
         self.position = None
 
     def load(self):
@@ -52,7 +52,7 @@
 
     def take_pages(self, pages):
         records, end = pages
-        self.fold.start_over()
+        self.fold.reset()
         for offset, key, value in self.order(records):
             self.fold.apply(offset, key, value)
         self.position = end
@@ -71,7 +71,7 @@
             self.fold.apply(self.position, key, value)
             self.position += 1
         if self.position >= partition.end:
-            self.fold.settle()
+            self.fold.commit()
 
 
 def pack(key, value):
@@ -94,7 +94,7 @@
     """A change that drains a failure domain, or restores a drained one."""
     base = configuration.revision
     if configuration.is_drained(domain):
-        name = ItemName(kind="drain", name=domain)
+        name = ItemReference(kind="drain", name=domain)
         return make_change(change_id, base, remove=(name,))
     return make_change(change_id, base, Drain(name=domain))
 
--- a/buckthornstile/configuration/tests/test_in_force.py
+++ b/buckthornstile/configuration/tests/test_in_force.py
@@ -4,7 +4,7 @@
 from pytest_bdd import given, parsers, scenarios, then, when
 
 from buckthornstile.configuration import Account, Drain, Rule, encode_change
-from buckthornstile.configuration.tests.stores import (
+from buckthornstile.configuration.tests.memory_store import (
     MemoryStore,
     Reader,
     make_change,
--- a/buckthornstile/configuration/tests/test_interleavings.py
+++ b/buckthornstile/configuration/tests/test_interleavings.py
@@ -15,12 +15,12 @@
 
 from buckthornstile.configuration import (
     EMPTY_CONFIGURATION,
-    ConfigurationFold,
+    ConfigurationState,
     Drain,
     Rule,
     apply_change,
 )
-from buckthornstile.configuration.tests.stores import (
+from buckthornstile.configuration.tests.memory_store import (
     MemoryStore,
     Reader,
     make_change,
@@ -33,7 +33,7 @@
 
 class Deployment(RuleBasedStateMachine):
     reader_type = Reader
-    fold_type = ConfigurationFold
+    fold_type = ConfigurationState
     has_condition = True
 
     def __init__(self):
@@ -151,12 +151,12 @@
     )
 
 
-class SettlesAtOnce(ConfigurationFold):
+class SettlesAtOnce(ConfigurationState):
     """Puts each record in force as it comes."""
 
     def apply(self, offset, key, value):
         super().apply(offset, key, value)
-        self.settle()
+        self.commit()
 
 
 class SettlesPages(Reader):
@@ -164,7 +164,7 @@
 
     def take_pages(self, pages):
         super().take_pages(pages)
-        self.fold.settle()
+        self.fold.commit()
 
 
 def test_no_process_goes_back_and_all_converge():
--- a/buckthornstile/configuration/tests/test_race.py
+++ b/buckthornstile/configuration/tests/test_race.py
@@ -4,7 +4,7 @@
 from pytest_bdd import given, scenarios, then, when
 
 from buckthornstile.configuration import Account
-from buckthornstile.configuration.tests.stores import (
+from buckthornstile.configuration.tests.memory_store import (
     MemoryStore,
     Reader,
     make_change,
@@ -68,14 +68,14 @@
     assert world.taken == [True, False]
     reader = Reader(world.store)
     reader.read()
-    assert reader.fold.find_change("own-1") == 2
-    assert reader.fold.find_change("own-0") is None
+    assert reader.fold.find_revision("own-1") == 2
+    assert reader.fold.find_revision("own-0") is None
 
 
 @then("the first finds its change in the store")
 def _(world):
     world.operators[0].read()
-    assert world.operators[0].fold.find_change("own-0") == 2
+    assert world.operators[0].fold.find_revision("own-0") == 2
 
 
 @then("every reader gives the same revision")
--- a/buckthornstile/configuration/tests/test_withdrawal.py
+++ b/buckthornstile/configuration/tests/test_withdrawal.py
@@ -8,17 +8,17 @@
 from buckthornstile.base import ErrorCode
 from buckthornstile.configuration import (
     Account,
+    ApiKey,
     ChangeError,
     Drain,
-    ItemName,
-    Key,
+    ItemReference,
     OpenRoute,
     Rule,
     apply_change,
-    hash_key,
-    make_key,
+    generate_api_key,
+    hash_api_key,
 )
-from buckthornstile.configuration.tests.stores import (
+from buckthornstile.configuration.tests.memory_store import (
     MemoryStore,
     Reader,
     make_change,
@@ -31,7 +31,9 @@
     def __init__(self):
         self.store = MemoryStore()
         self.reader = Reader(self.store)
-        self.new_key = make_key("mill-7", token_bytes=random.Random(7).randbytes)
+        self.new_key = generate_api_key(
+            "mill-7", token_bytes=random.Random(7).randbytes
+        )
         self.error = None
         self.before = None
 
@@ -66,7 +68,7 @@
     accounts = (Account(name="mill-7"), Account(name="mill-8"))
     world.apply(*accounts, world.new_key.item)
     assert world.error is None
-    found = world.current.find_key(hash_key(world.new_key.clear))
+    found = world.current.find_api_key(hash_api_key(world.new_key.clear))
     assert not found.withdrawn
 
 
@@ -79,13 +81,13 @@
 @when(parsers.parse("operators try to {attempt}"))
 def _(world, attempt):
     key = world.new_key.item
-    digest = hash_key("another")
+    digest = hash_api_key("another")
     rule = Rule(name="r1", path="/v1", service="s")
     attempts = {
         "put the key in force again": [key],
         "add it under another name": [key.model_copy(update={"name": "k2"})],
         "move it to another account": [key.model_copy(update={"account": "mill-8"})],
-        "replace its digest": [Key(name=key.name, account="mill-7", digest=digest)],
+        "replace its digest": [ApiKey(name=key.name, account="mill-7", digest=digest)],
         "add a rule for an unknown account": [
             rule.model_copy(update={"account": "nobody"})
         ],
@@ -101,9 +103,11 @@
         "add an endless reason": [Drain(name="bench-a", reason="x" * 10_000)],
     }
     removals = {
-        "remove it": ItemName(kind="key", name=key.name),
-        "remove the account of a working key": ItemName(kind="account", name="mill-7"),
-        "remove what does not exist": ItemName(kind="drain", name="bench-a"),
+        "remove it": ItemReference(kind="key", name=key.name),
+        "remove the account of a working key": ItemReference(
+            kind="account", name="mill-7"
+        ),
+        "remove what does not exist": ItemReference(kind="drain", name="bench-a"),
     }
     if attempt in removals:
         world.apply(remove=(removals[attempt],))
@@ -121,7 +125,7 @@
 
 @then("the key is still withdrawn")
 def _(world):
-    assert world.current.find_key(world.new_key.item.digest).withdrawn
+    assert world.current.find_api_key(world.new_key.item.digest).withdrawn
 
 
 @then("the configuration is as before")
@@ -134,7 +138,7 @@
     newcomer = Reader(world.store)
     newcomer.read()
     for fold in (world.reader.fold, newcomer.fold):
-        assert fold.current.find_key(world.new_key.item.digest).withdrawn
+        assert fold.current.find_api_key(world.new_key.item.digest).withdrawn
 
 
 def test_a_new_key_shows_its_clear_text_only_when_asked():
@@ -151,4 +155,4 @@
     world.apply(Account(name="mill-7"), key)
     world.apply(key.model_copy(update={"withdrawn": True}))
     world.apply(key)
-    assert not world.current.find_key(key.digest).withdrawn
+    assert not world.current.find_api_key(key.digest).withdrawn
--- /dev/null
+++ b/buckthornstile/consumers/__init__.py
@@ -0,0 +1,5 @@
+"""Following the partitions of the store."""
+
+from buckthornstile.consumers._partition_consumer import PartitionConsumer
+
+__all__ = ["PartitionConsumer"]
--- a/buckthornstile/tails/_tail.py
+++ b/buckthornstile/consumers/_partition_consumer.py
@@ -7,10 +7,10 @@
 from buckthornstile.base import BuckthornstileError, PlatformUnavailableError
 from buckthornstile.logs import log_event
 from buckthornstile.platform import (
-    HistoryDroppedError,
-    NewestPages,
+    KeyedRecord,
+    LatestRecords,
+    OffsetOutOfRangeError,
     StoreClient,
-    StoredRecord,
     decode_keyed_record,
 )
 
@@ -24,14 +24,14 @@
 PAGE_TIMEOUT = 3.0
 """Seconds for a page of the newest records, up to 1.4 MB on a slow link."""
 
-OnRecord = Callable[[StoredRecord], None]
-OnNewest = Callable[[list[StoredRecord]], None]
+OnRecord = Callable[[KeyedRecord], None]
+OnSnapshot = Callable[[list[KeyedRecord]], None]
 
 
-class Tail:
+class PartitionConsumer:
     """Follows one partition.
 
-    ``fresh_at`` is the time at which the newest successful read was sent: whatever
+    ``synced_at`` is the time at which the newest successful read was sent: whatever
     the store acknowledged before is known.
 
     Args:
@@ -42,11 +42,11 @@
         wait: Seconds that the store may hold a read without a record.
         pause: Seconds between two reads, to fetch several records at once.
         on_record: Called with each record of a keyed topic.
-        on_newest: Called with the newest record of each key, at the start and after
+        on_snapshot: Called with the newest record of each key, at the start and after
             history was dropped; None for a topic without keys.
-        on_raw: Called with offset and bytes, for a topic without keys.
-        on_read: Called after each read that reached the end.
-        in_order: Whether records must come in the order of their offsets: pages
+        on_raw_record: Called with offset and bytes, for a topic without keys.
+        on_caught_up: Called after each read that reached the end.
+        ordered: Whether records must come in the order of their offsets: pages
             then give only what lies before the end that the first one told.
     """
 
@@ -60,10 +60,10 @@
         wait: float,
         pause: float = 0.0,
         on_record: OnRecord | None = None,
-        on_newest: OnNewest | None = None,
-        on_raw: Callable[[int, bytes], None] | None = None,
-        on_read: Callable[[], None] | None = None,
-        in_order: bool = False,
+        on_snapshot: OnSnapshot | None = None,
+        on_raw_record: Callable[[int, bytes], None] | None = None,
+        on_caught_up: Callable[[], None] | None = None,
+        ordered: bool = False,
     ) -> None:
         self.store = store
         self.topic = topic
@@ -72,16 +72,16 @@
         self.wait = wait
         self.pause = pause
         self.on_record = on_record
-        self.on_newest = on_newest
-        self.on_raw = on_raw
-        self.on_read = on_read
-        self.in_order = in_order
-        self.fresh_at = -1e9
+        self.on_snapshot = on_snapshot
+        self.on_raw_record = on_raw_record
+        self.on_caught_up = on_caught_up
+        self.ordered = ordered
+        self.synced_at = -1e9
         self.end = 0
         self.lost_at: float | None = clock()
-        self.returned_at = -1e9
+        self.reconnected_at = -1e9
         self._next: int | None = None
-        self._pages: NewestPages | None = None
+        self._pages: LatestRecords | None = None
         self._read_waiters: list[tuple[float, asyncio.Future[None]]] = []
         self._hurry = asyncio.Event()
 
@@ -90,11 +90,11 @@
         """Whether the partition was read once to its end."""
         return self._next is not None
 
-    def get_age(self) -> float:
+    def get_staleness(self) -> float:
         """Seconds since the newest successful read was sent."""
-        return self.clock() - self.fresh_at
+        return self.clock() - self.synced_at
 
-    async def wait_until_fresh(self, timeout: float) -> bool:
+    async def wait_until_synced(self, timeout: float) -> bool:
         """Waits for a read that is sent from now on to succeed."""
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._read_waiters.append((self.clock(), waiter))
@@ -113,9 +113,9 @@
             sent_at = self.clock()
             try:
                 await self._read_once()
-            except HistoryDroppedError as error:
+            except OffsetOutOfRangeError as error:
                 log_event("store.history_dropped", topic=self.topic, part=self.part)
-                self._next = None if self.on_newest else error.first
+                self._next = None if self.on_snapshot else error.first
                 continue
             except (BuckthornstileError, ValueError, KeyError, TypeError) as error:
                 self._note_failure(error)
@@ -138,11 +138,11 @@
     async def _read_once(self) -> None:
         wait = 0.0 if self._read_waiters else self.wait
         if self._next is None:
-            if self.on_newest is None:
+            if self.on_snapshot is None:
                 self._next = 0
             else:
                 self._next = await self._load()
-                if not self.in_order:
+                if not self.ordered:
                     return
                 wait = 0.0
         data = await self.store.read(
@@ -159,24 +159,24 @@
         Returns:
             The offset to read on from.
         """
-        assert self.on_newest is not None
-        pages = self._pages = self._pages or NewestPages()
-        while not pages.is_whole:
-            await self.store.read_newest_page(
+        assert self.on_snapshot is not None
+        pages = self._pages = self._pages or LatestRecords()
+        while not pages.is_complete:
+            await self.store.read_latest_page(
                 self.topic, self.part, pages, timeout=PAGE_TIMEOUT
             )
         self._pages = None
         records = pages.records
-        if self.in_order:
+        if self.ordered:
             # Later pages show later records, but not all that lie between.
             records = [record for record in records if record.offset < pages.end]
-        self.on_newest(records)
+        self.on_snapshot(records)
         self.end = pages.end
         return pages.end
 
     def _apply(self, offset: int, record: bytes) -> None:
-        if self.on_raw is not None:
-            self.on_raw(offset, record)
+        if self.on_raw_record is not None:
+            self.on_raw_record(offset, record)
             return
         try:
             decoded = decode_keyed_record(offset, record)
@@ -194,7 +194,7 @@
                 topic=self.topic,
                 part=self.part,
                 reason=error,
-                age=self.get_age(),
+                age=self.get_staleness(),
             )
         if not isinstance(error, PlatformUnavailableError):
             log_event("store.read_failed", topic=self.topic, reason=repr(error))
@@ -208,10 +208,10 @@
                 away=self.clock() - self.lost_at,
             )
             self.lost_at = None
-            self.returned_at = self.clock()
+            self.reconnected_at = self.clock()
         if self._next is None or self._next < self.end:
             return
-        self.fresh_at = sent_at
+        self.synced_at = sent_at
         kept = []
         for asked_at, waiter in self._read_waiters:
             if asked_at > sent_at:
@@ -219,5 +219,5 @@
             elif not waiter.done():
                 waiter.set_result(None)
         self._read_waiters = kept
-        if self.on_read is not None:
-            self.on_read()
+        if self.on_caught_up is not None:
+            self.on_caught_up()
--- a/buckthornstile/duties/__init__.py
+++ b/buckthornstile/duties/__init__.py
@@ -2,25 +2,25 @@
 
 from buckthornstile.duties._lease import (
     DUTY_TOPIC,
-    DutyFold,
     DutyRecord,
+    DutyState,
     Lease,
     LeaseRecord,
     SealRecord,
     decode_duty_record,
     encode_duty_record,
 )
+from buckthornstile.duties._model_loads import ModelLoadPlanner, PlannedModelLoad
 from buckthornstile.duties._usage import UsageCounter, UsageTotals
-from buckthornstile.duties._weights import LoadPlanner, PlannedLoad
 
 __all__ = [
     "DUTY_TOPIC",
-    "DutyFold",
+    "DutyState",
     "DutyRecord",
     "Lease",
     "LeaseRecord",
-    "LoadPlanner",
-    "PlannedLoad",
+    "ModelLoadPlanner",
+    "PlannedModelLoad",
     "SealRecord",
     "UsageCounter",
     "UsageTotals",
--- a/buckthornstile/duties/_lease.py
+++ b/buckthornstile/duties/_lease.py
@@ -70,14 +70,14 @@
     raise ValueError(f"duty record: kind {kind!r} is not known")
 
 
-class DutyFold:
+class DutyState:
     """Folds the records: who holds the lease, and which windows are sealed.
 
     Args:
         clock: Gives the time in seconds; it must go on while suspended.
 
     Example:
-        >>> fold = DutyFold(lambda: 0.0)
+        >>> fold = DutyState(lambda: 0.0)
         >>> fold.apply(4, LeaseRecord("e1"))
         >>> fold.holder, fold.term
         ('e1', 4)
@@ -105,7 +105,7 @@
         self.holder = record.holder
         self.term = offset if record.term is None else record.term
 
-    def note_return(self) -> None:
+    def reset_last_record_at(self) -> None:
         """Notes that the store was away: its silence then was no holder's."""
         if self.seen_at is not None:
             self.seen_at = self.clock()
@@ -124,7 +124,7 @@
     def __init__(
         self,
         name: ProcessName,
-        fold: DutyFold,
+        fold: DutyState,
         *,
         clock: Callable[[], float],
         turn_bound: float,
@@ -142,11 +142,11 @@
         age = self.clock() - self._renewed_at
         return is_own and age < ACT_SHARE * self.turn_bound
 
-    def get_time_left(self) -> float:
+    def get_remaining_time(self) -> float:
         """Seconds for which this process may still act."""
         return self._renewed_at + ACT_SHARE * self.turn_bound - self.clock()
 
-    def choose_record(self) -> LeaseRecord | None:
+    def get_due_record(self) -> LeaseRecord | None:
         """Gives the record that should be appended now, if any."""
         now = self.clock()
         if self.fold.holder == self.name:
@@ -158,7 +158,9 @@
             return LeaseRecord(self.name)
         return None
 
-    def note_written(self, record: LeaseRecord, offset: int, sent_at: float) -> None:
+    def record_acknowledged(
+        self, record: LeaseRecord, offset: int, sent_at: float
+    ) -> None:
         """Notes that a record of this process was acknowledged."""
         self.fold.apply(offset, record)
         self._renewed_at = sent_at
--- a/buckthornstile/duties/_weights.py
+++ b/buckthornstile/duties/_model_loads.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from buckthornstile.base import ServiceName, UpstreamId
-from buckthornstile.routing import compute_score
+from buckthornstile.routing import compute_rendezvous_score
 from buckthornstile.topology import ModelName, TopologyView, Upstream
 
 LOADING_SHARE = 0.4
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlannedLoad:
+class PlannedModelLoad:
     """A load that should be ordered now."""
 
     upstream: UpstreamId
@@ -38,23 +38,23 @@
 class _Engine:
     """What the planner knows of one incarnation beyond its last entry."""
 
-    born: int
+    started_at_ms: int
     versions: dict[ModelName, int] = field(default_factory=dict)
     order_count: int | None = None
     loading_until: float = 0.0
-    doubted_at: float | None = None
+    next_poll_at: float | None = None
 
 
 @dataclass(slots=True)
 class _Wanted:
     """A load that a model wants; the smallest rank goes first."""
 
-    load: PlannedLoad
+    load: PlannedModelLoad
     engine: _Engine
     rank: tuple[int, int]
 
 
-class LoadPlanner:
+class ModelLoadPlanner:
     """Chooses loads for the holder of the lease.
 
     Of a model's engines those that are two versions behind load at once; those that
@@ -63,7 +63,7 @@
     Args:
         view: The topology in force.
         clock: Gives the steady time in seconds.
-        is_suspect: Tells whether an upstream failed just now.
+        is_ejected: Tells whether an upstream failed just now.
     """
 
     def __init__(
@@ -71,29 +71,29 @@
         view: TopologyView,
         *,
         clock: Callable[[], float],
-        is_suspect: Callable[[Upstream], bool],
+        is_ejected: Callable[[Upstream], bool],
     ) -> None:
         self.view = view
         self.clock = clock
-        self.is_suspect = is_suspect
+        self.is_ejected = is_ejected
         self._engines: dict[UpstreamId, _Engine] = {}
         self._credit: dict[ModelName, float] = {}
         self._credited: dict[ModelName, int] = {}
 
-    def plan(self) -> list[PlannedLoad]:
+    def plan(self) -> list[PlannedModelLoad]:
         """Gives the loads that should be ordered now."""
-        planned: list[PlannedLoad] = []
-        for service, models in self.view.list_model_services().items():
+        planned: list[PlannedModelLoad] = []
+        for service, models in self.view.get_models_by_service().items():
             planned += self._plan_service(service, models)
         return planned
 
-    def list_doubted(self) -> list[UpstreamId]:
+    def list_upstreams_to_poll(self) -> list[UpstreamId]:
         """Lists the engines whose last order has an unknown outcome."""
         now = self.clock()
         return [
             name
             for name, engine in self._engines.items()
-            if engine.doubted_at is not None and now >= engine.doubted_at
+            if engine.next_poll_at is not None and now >= engine.next_poll_at
         ]
 
     def get_order_count(self, upstream_id: UpstreamId) -> int | None:
@@ -101,37 +101,37 @@
         engine, _ = self._find(upstream_id)
         return engine.order_count if engine is not None else None
 
-    def note_accepted(self, load: PlannedLoad) -> None:
+    def record_accepted(self, load: PlannedModelLoad) -> None:
         """Notes that an engine took an order."""
         engine, upstream = self._find(load.upstream)
         if engine is None or upstream is None:
             return
         if engine.order_count is not None:
             engine.order_count += 1
-        engine.doubted_at = engine.loading_until = self.clock() + LOAD_TIME
+        engine.next_poll_at = engine.loading_until = self.clock() + LOAD_TIME
         self._credit[load.model] = self._credit.get(load.model, 0.0) - 1
 
-    def note_holds(self, load: PlannedLoad) -> None:
+    def record_already_loaded(self, load: PlannedModelLoad) -> None:
         """Notes that an engine has a version already."""
         engine, _ = self._find(load.upstream)
         if engine is not None:
             engine.versions[load.model] = load.version
-            engine.doubted_at = None
+            engine.next_poll_at = None
 
-    def note_doubt(self, upstream_id: UpstreamId) -> None:
+    def record_unknown_outcome(self, upstream_id: UpstreamId) -> None:
         """Notes that the outcome of an order is not known."""
         engine, _ = self._find(upstream_id)
         if engine is not None:
             now = self.clock()
-            engine.doubted_at = now + DOUBT_PAUSE
+            engine.next_poll_at = now + DOUBT_PAUSE
             engine.loading_until = max(engine.loading_until, now + DOUBT_PAUSE)
 
-    def list_fresh_versions(self) -> dict[UpstreamId, dict[ModelName, int]]:
+    def list_unpublished_versions(self) -> dict[UpstreamId, dict[ModelName, int]]:
         """Lists what engines hold that their entries do not show yet."""
         fresh: dict[UpstreamId, dict[ModelName, int]] = {}
         for name, engine in self._engines.items():
             upstream = self.view.upstreams.get(name)
-            if upstream is None or upstream.born != engine.born:
+            if upstream is None or upstream.started_at_ms != engine.started_at_ms:
                 continue
             newer = {
                 model: version
@@ -142,7 +142,7 @@
                 fresh[name] = newer
         return fresh
 
-    def note_report(
+    def record_report(
         self,
         upstream_id: UpstreamId,
         versions: dict[ModelName, int],
@@ -156,7 +156,7 @@
         engine.versions.update(versions)
         engine.order_count = order_count
         now = self.clock()
-        engine.doubted_at = now + BUSY_PAUSE if is_busy else None
+        engine.next_poll_at = now + BUSY_PAUSE if is_busy else None
         engine.loading_until = now + BUSY_PAUSE if is_busy else 0.0
 
     def _find(self, name: UpstreamId) -> tuple[_Engine | None, Upstream | None]:
@@ -165,8 +165,8 @@
 
     def _get_engine(self, upstream: Upstream) -> _Engine:
         engine = self._engines.get(upstream.id)
-        if engine is None or engine.born != upstream.born:
-            engine = self._engines[upstream.id] = _Engine(upstream.born)
+        if engine is None or engine.started_at_ms != upstream.started_at_ms:
+            engine = self._engines[upstream.id] = _Engine(upstream.started_at_ms)
         for model, version in upstream.versions.items():
             if version >= engine.versions.get(model, 0):
                 engine.versions[model] = version
@@ -174,22 +174,23 @@
 
     def _plan_service(
         self, service: ServiceName, models: tuple[ModelName, ...]
-    ) -> list[PlannedLoad]:
+    ) -> list[PlannedModelLoad]:
         now = self.clock()
         engines = [
-            (one, self._get_engine(one)) for one in self.view.list_usable(service)
+            (one, self._get_engine(one))
+            for one in self.view.list_available_upstreams(service)
         ]
         self._forget_gone()
         loading = sum(
-            engine.loading_until > now or engine.doubted_at is not None
+            engine.loading_until > now or engine.next_poll_at is not None
             for upstream, engine in engines
-            if not self.is_suspect(upstream)
+            if not self.is_ejected(upstream)
         )
         room = math.ceil(LOADING_SHARE * len(engines)) - loading
         assigned: dict[UpstreamId, int] = {}
         wanted: list[_Wanted] = []
         for model in models:
-            named = self.view.named_versions.get(model, 0)
+            named = self.view.target_versions.get(model, 0)
             if named < 2 or not engines:
                 continue
             share = len(engines) / len(models)
@@ -201,8 +202,8 @@
 
     def _take_most_urgent(
         self, wanted: list["_Wanted"], room: int, now: float
-    ) -> list[PlannedLoad]:
-        planned: list[PlannedLoad] = []
+    ) -> list[PlannedModelLoad]:
+        planned: list[PlannedModelLoad] = []
         taken: set[UpstreamId] = set()
         for one in sorted(wanted, key=lambda one: one.rank):
             name = one.load.upstream
@@ -212,7 +213,7 @@
             room -= 1
             if one.engine.order_count is None:
                 # An order needs the count of earlier ones: ask for it first.
-                one.engine.doubted_at = now
+                one.engine.next_poll_at = now
                 continue
             planned.append(one.load)
         return planned
@@ -235,10 +236,10 @@
             upstream, engine = one
             lag = named - engine.versions.get(model, 0)
             return (
-                int(self.is_suspect(upstream)),
+                int(self.is_ejected(upstream)),
                 max(0, lag - ALLOWED_LAG - 1),
                 assigned.get(upstream.id, 0),
-                -compute_score(model, upstream.id),
+                -compute_rendezvous_score(model, upstream.id),
             )
 
         chosen = sorted(engines, key=rank)[:count]
@@ -267,11 +268,15 @@
         wanted: list[_Wanted] = []
         optional = 0
         for lag, upstream, engine in sorted(lags, key=lambda one: -one[0]):
-            if lag <= 0 or engine.loading_until > now or engine.doubted_at is not None:
+            if (
+                lag <= 0
+                or engine.loading_until > now
+                or engine.next_poll_at is not None
+            ):
                 continue
-            if self.is_suspect(upstream):
+            if self.is_ejected(upstream):
                 continue
-            load = PlannedLoad(upstream.id, model, named)
+            load = PlannedModelLoad(upstream.id, model, named)
             if lag > ALLOWED_LAG:
                 wanted.append(_Wanted(load, engine, (able + len(wanted), -lag)))
             # Engines that can serve the step now must not all load at once.
--- a/buckthornstile/duties/_usage.py
+++ b/buckthornstile/duties/_usage.py
@@ -30,14 +30,14 @@
         self.window = window
         self._counts: dict[int, dict[str, int]] = {}
 
-    def count(self, account: AccountId, wall: float) -> None:
+    def count(self, account: AccountId, wall_time: float) -> None:
         """Counts a request that began at a time, in seconds since the epoch."""
-        counts = self._counts.setdefault(int(wall // self.window), {})
+        counts = self._counts.setdefault(int(wall_time // self.window), {})
         counts[account] = counts.get(account, 0) + 1
 
-    def get_counts(self, wall: float) -> dict[int, dict[str, int]]:
+    def get_counts(self, wall_time: float) -> dict[int, dict[str, int]]:
         """Gives the counts of the last windows and drops older ones."""
-        oldest = int(wall // self.window) - KEPT_WINDOWS
+        oldest = int(wall_time // self.window) - KEPT_WINDOWS
         self._counts = {
             window: counts
             for window, counts in self._counts.items()
@@ -95,10 +95,10 @@
                 total[account] = total.get(account, 0) + count
         return total
 
-    def find_unsealed(
+    def find_windows_to_seal(
         self,
         seals: Mapping[int, SealRecord],
-        wall: float,
+        wall_time: float,
         due: float,
         counting: Iterable[ProcessName] = (),
     ) -> list[int]:
@@ -109,15 +109,15 @@
 
         Args:
             seals: The windows that are sealed.
-            wall: Seconds since the epoch.
+            wall_time: Seconds since the epoch.
             due: Seconds after its end for which a report is still worth something.
             counting: The processes that may have counts.
         """
         counted_by_all = min(
             (self._counted_at.get(name, -inf) for name in counting), default=inf
         )
-        last = int((wall - SEAL_MARGIN) // self.window) - 1
-        oldest = int((wall - due) // self.window)
+        last = int((wall_time - SEAL_MARGIN) // self.window) - 1
+        oldest = int((wall_time - due) // self.window)
         first = min(self._counts, default=last + 1)
         return [
             window
@@ -125,6 +125,6 @@
             if window not in seals
             and (
                 counted_by_all >= (window + 1) * self.window
-                or wall >= (window + 1) * self.window + PATIENCE_SHARE * due
+                or wall_time >= (window + 1) * self.window + PATIENCE_SHARE * due
             )
         ]
--- a/buckthornstile/duties/tests/test_lease_machine.py
+++ b/buckthornstile/duties/tests/test_lease_machine.py
@@ -11,7 +11,7 @@
 )
 
 from buckthornstile.duties import (
-    DutyFold,
+    DutyState,
     Lease,
     LeaseRecord,
     decode_duty_record,
@@ -27,7 +27,7 @@
 
     def __init__(self, machine: "LeaseMachine", name: str) -> None:
         self.name = name
-        self.fold = DutyFold(lambda: machine.now)
+        self.fold = DutyState(lambda: machine.now)
         self.lease = Lease(
             name, self.fold, clock=lambda: machine.now, turn_bound=TURN_BOUND
         )
@@ -81,7 +81,7 @@
 
     def write(self, name: str, outcome: str) -> None:
         process = self.processes[name]
-        record = process.lease.choose_record()
+        record = process.lease.get_due_record()
         if record is None:
             return
         sent_at, at = self.now, process.fold.end
@@ -95,7 +95,7 @@
             return
         self.log.append(data)
         if outcome != "lost":
-            process.lease.note_written(record, at, sent_at)
+            process.lease.record_acknowledged(record, at, sent_at)
 
     @rule()
     def carry_out_late(self) -> None:
@@ -150,14 +150,14 @@
     machine = LeaseMachine()
     machine.start()
     first, second = machine.processes["e1"], machine.processes["e2"]
-    assert first.lease.choose_record() == LeaseRecord("e1")
-    assert second.lease.choose_record() == LeaseRecord("e2")
+    assert first.lease.get_due_record() == LeaseRecord("e1")
+    assert second.lease.get_due_record() == LeaseRecord("e2")
     machine.write("e1", "answered")
     machine.write("e2", "answered")
     second.read_log(machine.log)
     assert first.lease.holds()
     assert not second.lease.holds()
-    assert second.lease.choose_record() is None
+    assert second.lease.get_due_record() is None
 
 
 def test_holder_that_was_suspended_does_not_act() -> None:
@@ -177,8 +177,8 @@
     follower = machine.processes["e2"]
     follower.read_log(machine.log)
     machine.now += 10.0
-    follower.fold.note_return()
-    assert follower.lease.choose_record() is None
+    follower.fold.reset_last_record_at()
+    assert follower.lease.get_due_record() is None
 
 
 def test_frozen_holders_never_act_beside_their_successors() -> None:
--- a/buckthornstile/duties/tests/test_weights.py
+++ b/buckthornstile/duties/tests/test_model_loads.py
@@ -1,6 +1,6 @@
 """Which engine loads which version, and when."""
 
-from buckthornstile.duties import LoadPlanner, PlannedLoad
+from buckthornstile.duties import ModelLoadPlanner, PlannedModelLoad
 from buckthornstile.topology import Configuration, Service, TopologyView, Upstream
 
 
@@ -17,23 +17,23 @@
             f"e{number}": dict.fromkeys(self.models, 1) for number in range(engines)
         }
         self.suspects: set[str] = set()
-        self.planner = LoadPlanner(
+        self.planner = ModelLoadPlanner(
             self.view,
             clock=lambda: self.now,
-            is_suspect=lambda upstream: upstream.id in self.suspects,
+            is_ejected=lambda upstream: upstream.id in self.suspects,
         )
-        self.loads: list[tuple[float, PlannedLoad]] = []
+        self.loads: list[tuple[float, PlannedModelLoad]] = []
         self.orders = dict.fromkeys(self.versions, 0)
-        self.busy: dict[str, tuple[float, PlannedLoad]] = {}
+        self.busy: dict[str, tuple[float, PlannedModelLoad]] = {}
         for number, name in enumerate(self.versions):
             self.view.apply_upstream(
                 Upstream(name, "engines", "127.0.0.1", 9000 + number, "a", 8), 0.0
             )
 
     def name(self, model: str, version: int) -> None:
-        self.view.apply_named_version(model, version)
+        self.view.apply_target_version(model, version)
 
-    def step(self, seconds: float = 0.1) -> list[PlannedLoad]:
+    def step(self, seconds: float = 0.1) -> list[PlannedModelLoad]:
         """Plans once; engines carry out what they are told in one second."""
         self.now += seconds
         for engine, (until, load) in list(self.busy.items()):
@@ -41,8 +41,8 @@
                 self.versions[engine][load.model] = load.version
                 del self.busy[engine]
         planned = self.planner.plan()
-        for name in self.planner.list_doubted():
-            self.planner.note_report(
+        for name in self.planner.list_upstreams_to_poll():
+            self.planner.record_report(
                 name, self.versions[name], self.orders[name], name in self.busy
             )
         for load in planned:
@@ -54,7 +54,7 @@
             self.orders[load.upstream] += 1
             self.busy[load.upstream] = (self.now + 1.0, load)
             self.loads.append((self.now, load))
-            self.planner.note_accepted(load)
+            self.planner.record_accepted(load)
         return planned
 
     def run(self, seconds: float) -> None:
@@ -69,7 +69,7 @@
     world = World(engines=1, models=1)
     world.name("m0", 3)
     assert world.step() == []
-    assert world.step() == [PlannedLoad("e0", "m0", 3)]
+    assert world.step() == [PlannedModelLoad("e0", "m0", 3)]
 
 
 def test_some_engine_can_always_serve_the_named_version() -> None:
@@ -124,12 +124,12 @@
     world.name("m0", 3)
     world.step()
     planned = world.planner.plan()
-    world.planner.note_doubt("e0")
+    world.planner.record_unknown_outcome("e0")
     assert planned
     assert world.planner.plan() == []
     world.now += 0.5
-    assert world.planner.list_doubted() == ["e0"]
-    world.planner.note_report("e0", {"m0": 3}, 1, False)
+    assert world.planner.list_upstreams_to_poll() == ["e0"]
+    world.planner.record_report("e0", {"m0": 3}, 1, False)
     assert world.planner.plan() == []
 
 
@@ -138,7 +138,7 @@
     world.name("m0", 3)
     world.run(3.0)
     assert world.planner.get_order_count("e0") == 1
-    fresh = Upstream("e0", "engines", "127.0.0.1", 9000, "a", 8, born=5)
+    fresh = Upstream("e0", "engines", "127.0.0.1", 9000, "a", 8, started_at_ms=5)
     world.view.apply_upstream(fresh, world.now)
     assert world.planner.get_order_count("e0") is None
 
@@ -148,7 +148,7 @@
     world.name("m0", 3)
     world.planner.plan()
     for name in ("e0", "e1"):
-        world.planner.note_doubt(name)
+        world.planner.record_unknown_outcome(name)
     world.suspects = {"e0", "e1"}
     world.run(5.0)
     assert world.versions["e2"]["m0"] == world.versions["e3"]["m0"] == 3
--- a/buckthornstile/duties/tests/test_orders_machine.py
+++ b/buckthornstile/duties/tests/test_orders_machine.py
@@ -10,7 +10,7 @@
     run_state_machine_as_test,
 )
 
-from buckthornstile.duties import LoadPlanner, PlannedLoad
+from buckthornstile.duties import ModelLoadPlanner, PlannedModelLoad
 from buckthornstile.topology import Configuration, Service, TopologyView, Upstream
 
 MODELS = ("m0", "m1")
@@ -18,7 +18,7 @@
 HOLDERS = ("e1", "e2")
 LOAD_SECONDS = 1.0
 
-Order = tuple[PlannedLoad, int | None]
+Order = tuple[PlannedModelLoad, int | None]
 
 
 class Engine:
@@ -28,7 +28,7 @@
         self.versions = dict.fromkeys(MODELS, 1)
         self.orders = 0
         self.until = 0.0
-        self.load: PlannedLoad | None = None
+        self.load: PlannedModelLoad | None = None
         self.loaded: list[tuple[str, int]] = []
 
     def finish(self, now: float) -> None:
@@ -62,7 +62,7 @@
         self.late: list[Order] = []
         self.named = dict.fromkeys(MODELS, 1)
         self.views: dict[str, TopologyView] = {}
-        self.planners: dict[str, LoadPlanner] = {}
+        self.planners: dict[str, ModelLoadPlanner] = {}
         for holder in HOLDERS:
             self.restart(holder)
 
@@ -75,9 +75,9 @@
             upstream = Upstream(name, "engines", "127.0.0.1", 9000 + number, "a", 8)
             view.apply_upstream(upstream, 0.0)
         for model, version in self.named.items():
-            view.apply_named_version(model, version)
-        self.planners[holder] = LoadPlanner(
-            view, clock=lambda: self.now, is_suspect=lambda upstream: False
+            view.apply_target_version(model, version)
+        self.planners[holder] = ModelLoadPlanner(
+            view, clock=lambda: self.now, is_ejected=lambda upstream: False
         )
 
     @rule(wait=st.sampled_from([0.1, 0.5, 1.2]))
@@ -89,12 +89,12 @@
     @rule(model=st.sampled_from(MODELS), seen_by=st.sampled_from(HOLDERS))
     def name_version(self, model: str, seen_by: str) -> None:
         self.named[model] += 1
-        self.views[seen_by].apply_named_version(model, self.named[model])
+        self.views[seen_by].apply_target_version(model, self.named[model])
 
     @rule(holder=st.sampled_from(HOLDERS))
     def read_names(self, holder: str) -> None:
         for model, version in self.named.items():
-            self.views[holder].apply_named_version(model, version)
+            self.views[holder].apply_target_version(model, version)
 
     @rule(
         holder=st.sampled_from(HOLDERS),
@@ -104,13 +104,13 @@
         """Sends what is due, after what is doubted was asked."""
         planner = self.planners[holder]
         loads = planner.plan()
-        for name in planner.list_doubted():
+        for name in planner.list_upstreams_to_poll():
             self.ask(planner, name)
         for load in loads:
             expected = planner.get_order_count(load.upstream)
             if expected is None:
                 continue
-            planner.note_doubt(load.upstream)
+            planner.record_unknown_outcome(load.upstream)
             order = (load, expected if self.names_count else None)
             if outcome == "late":
                 self.late.append(order)
@@ -119,15 +119,15 @@
             if outcome == "lost":
                 continue
             if answer == "accepted":
-                planner.note_accepted(load)
+                planner.record_accepted(load)
             elif answer == "holds":
-                planner.note_holds(load)
+                planner.record_already_loaded(load)
 
-    def ask(self, planner: LoadPlanner, name: str) -> None:
+    def ask(self, planner: ModelLoadPlanner, name: str) -> None:
         engine = self.engines[name]
         engine.finish(self.now)
         versions = dict(engine.versions)
-        planner.note_report(name, versions, engine.orders, engine.load is not None)
+        planner.record_report(name, versions, engine.orders, engine.load is not None)
 
     @rule()
     def carry_out_late(self) -> None:
--- a/buckthornstile/duties/tests/test_usage_machine.py
+++ b/buckthornstile/duties/tests/test_usage_machine.py
@@ -11,7 +11,7 @@
 )
 
 from buckthornstile.duties import (
-    DutyFold,
+    DutyState,
     SealRecord,
     UsageCounter,
     UsageTotals,
@@ -37,11 +37,11 @@
         self.skew = skew
         self.counter = UsageCounter(WINDOW)
         self.totals = UsageTotals(WINDOW)
-        self.fold = DutyFold(lambda: machine.now)
+        self.fold = DutyState(lambda: machine.now)
         self.read_presence = 0
         self.read_duties = 0
 
-    def read_wall(self) -> float:
+    def get_wall_time(self) -> float:
         return self.machine.now + self.skew
 
     def read(self) -> None:
@@ -107,18 +107,18 @@
     @rule(index=st.integers(0, 2), account=st.sampled_from(ACCOUNTS))
     def count(self, index: int, account: str) -> None:
         process = self.processes[index]
-        wall = process.read_wall()
-        process.counter.count(account, wall)
-        counts = self.counted.setdefault(int(wall // WINDOW), {})
+        wall_time = process.get_wall_time()
+        process.counter.count(account, wall_time)
+        counts = self.counted.setdefault(int(wall_time // WINDOW), {})
         counts[account] = counts.get(account, 0) + 1
 
     @rule(index=st.integers(0, 2), is_lost=st.sampled_from([False, False, True]))
     def announce(self, index: int, is_lost: bool) -> None:
         process = self.processes[index]
-        wall = process.read_wall()
-        counts = process.counter.get_counts(wall)
+        wall_time = process.get_wall_time()
+        counts = process.counter.get_counts(wall_time)
         if not is_lost:
-            self.presence.append((process.name, counts, wall))
+            self.presence.append((process.name, counts, wall_time))
 
     @rule()
     def all_announce_and_read(self) -> None:
@@ -137,11 +137,13 @@
     )
     def seal(self, index: int, outcome: str) -> None:
         process = self.processes[index]
-        wall = process.read_wall()
+        wall_time = process.get_wall_time()
         live = [one.name for one in self.processes] if self.waits else []
-        for window in process.totals.find_unsealed(process.fold.seals, wall, DUE, live):
+        for window in process.totals.find_windows_to_seal(
+            process.fold.seals, wall_time, DUE, live
+        ):
             record = SealRecord(window, process.totals.sum_window(window))
-            if wall < (window + 1) * WINDOW + PATIENCE_SHARE * DUE:
+            if wall_time < (window + 1) * WINDOW + PATIENCE_SHARE * DUE:
                 self.exact.add(window)
             else:
                 self.lost.add(window)
--- a/buckthornstile/duties/tests/test_usage_windows.py
+++ b/buckthornstile/duties/tests/test_usage_windows.py
@@ -1,6 +1,6 @@
 """Counts of windows, and which are to be sealed."""
 
-from buckthornstile.duties import DutyFold, SealRecord, UsageCounter, UsageTotals
+from buckthornstile.duties import DutyState, SealRecord, UsageCounter, UsageTotals
 
 
 def test_newest_counts_of_a_process_replace_its_earlier_ones() -> None:
@@ -16,11 +16,11 @@
     totals = UsageTotals(5.0)
     for window in range(8, 13):
         totals.apply("e1", {window: {"mill": 1}}, 60.0)
-    assert totals.find_unsealed({}, 61.0, 10.0) == [10]
-    assert totals.find_unsealed({}, 62.3, 10.0) == [10, 11]
+    assert totals.find_windows_to_seal({}, 61.0, 10.0) == [10]
+    assert totals.find_windows_to_seal({}, 62.3, 10.0) == [10, 11]
     seals = {11: SealRecord(11, {})}
-    assert totals.find_unsealed(seals, 62.3, 10.0) == [10]
-    assert totals.find_unsealed({}, 80.0, 10.0) == [14]
+    assert totals.find_windows_to_seal(seals, 62.3, 10.0) == [10]
+    assert totals.find_windows_to_seal({}, 80.0, 10.0) == [14]
 
 
 def test_window_waits_for_what_living_processes_counted() -> None:
@@ -28,30 +28,30 @@
     totals = UsageTotals(5.0)
     totals.apply("e1", {10: {"mill": 1}}, 58.0)
     live = ["e1", "e2"]
-    assert totals.find_unsealed({}, 58.0, 10.0, live) == []
+    assert totals.find_windows_to_seal({}, 58.0, 10.0, live) == []
     totals.apply("e2", {10: {"mill": 2}}, 54.0)
-    assert totals.find_unsealed({}, 58.0, 10.0, live) == []
+    assert totals.find_windows_to_seal({}, 58.0, 10.0, live) == []
     totals.apply("e2", {10: {"mill": 3}}, 58.1)
-    assert totals.find_unsealed({}, 58.2, 10.0, live) == [10]
+    assert totals.find_windows_to_seal({}, 58.2, 10.0, live) == [10]
     assert totals.sum_window(10) == {"mill": 4}
 
 
 def test_window_does_not_wait_beyond_its_time() -> None:
     totals = UsageTotals(5.0)
     totals.apply("e1", {10: {"mill": 1}}, 62.0)
-    assert totals.find_unsealed({}, 60.9, 10.0, ["e1", "e2"]) == []
-    assert totals.find_unsealed({}, 61.0, 10.0, ["e1", "e2"]) == [10]
+    assert totals.find_windows_to_seal({}, 60.9, 10.0, ["e1", "e2"]) == []
+    assert totals.find_windows_to_seal({}, 61.0, 10.0, ["e1", "e2"]) == [10]
 
 
 def test_window_without_requests_is_sealed_too() -> None:
     totals = UsageTotals(5.0)
     totals.apply("e1", {10: {"mill": 1}}, 60.0)
-    assert totals.find_unsealed({}, 68.0, 30.0) == [10, 11, 12]
+    assert totals.find_windows_to_seal({}, 68.0, 30.0) == [10, 11, 12]
     assert totals.sum_window(11) == {}
 
 
 def test_first_seal_holds() -> None:
-    fold = DutyFold(lambda: 0.0)
+    fold = DutyState(lambda: 0.0)
     fold.apply(0, SealRecord(10, {"mill": 1}))
     fold.apply(1, SealRecord(10, {"mill": 2}))
     fold.apply(2, SealRecord(10, {"mill": 9}, is_reported=True))
--- a/buckthornstile/entry/_daemon.py
+++ b/buckthornstile/entry/_daemon.py
@@ -7,16 +7,16 @@
 from collections.abc import Awaitable, Callable
 
 from buckthornstile.api import (
-    Admission,
+    AdmissionController,
+    ApiDependencies,
     ApiHandlers,
-    ApiTools,
-    ConfigurationWatch,
-    OnceGuard,
+    CallDeduplicator,
+    ConfigurationWatcher,
     OperatorHandlers,
     ProcessState,
-    Revocation,
+    RevocationMonitor,
     decode_api_request,
-    encode_api_reply,
+    encode_api_response,
     find_key_error,
     make_api_error,
 )
@@ -27,36 +27,36 @@
     ProcessName,
     ServiceName,
 )
-from buckthornstile.calls import ClientRequest, Reply, StreamReply
 from buckthornstile.clock import read_boottime, read_wall_time
-from buckthornstile.entry._announcer import Announcer
-from buckthornstile.entry._door import Door, DoorProtocol
-from buckthornstile.entry._parts import (
-    Basis,
+from buckthornstile.entry._components import (
+    SharedResources,
     make_control,
     make_job_store,
-    make_upstream_side,
+    make_upstream_components,
 )
-from buckthornstile.exchanges import ConnectionPool
+from buckthornstile.entry._http_listener import HTTPCodec, HTTPListener
+from buckthornstile.entry._presence_publisher import PresencePublisher
 from buckthornstile.gateway import (
     ClientHandlers,
-    Followers,
     GatewayMetrics,
-    HandlerTools,
-    JobOwner,
-    JobTools,
+    HandlerDependencies,
+    ItemRunner,
+    JobDependencies,
+    JobManager,
+    PartitionAssignment,
     PeerClient,
-    StorePath,
-    StoreRelay,
-    StreamRunner,
-    make_error_reply,
+    StoreProxy,
+    StoreProxySelector,
+    make_error_response,
 )
+from buckthornstile.http_client import ConnectionPool
 from buckthornstile.jobs import Job
-from buckthornstile.logs import EventLineHandler, log_event, set_up_event_lines
+from buckthornstile.logs import EventLogHandler, log_event, set_up_event_logging
+from buckthornstile.messages import ClientRequest, Response, StreamingResponse
 from buckthornstile.platform import (
     StoreClient,
     decode_request,
-    encode_reply,
+    encode_response,
     is_store_call,
     read_node_settings,
 )
@@ -76,8 +76,8 @@
 """Seconds before a task that failed is started again."""
 KEY_CHECK_PERIOD = 0.2
 """Seconds between two looks for running work whose key cannot be checked any more."""
-PLATFORM_PROTOCOL = DoorProtocol(decode_request, encode_reply, make_error_reply)
-API_PROTOCOL = DoorProtocol(decode_api_request, encode_api_reply, make_api_error)
+PLATFORM_CODEC = HTTPCodec(decode_request, encode_response, make_error_response)
+API_CODEC = HTTPCodec(decode_api_request, encode_api_response, make_api_error)
 
 
 class Entry:
@@ -88,49 +88,51 @@
         events: Writes its event lines.
     """
 
-    def __init__(self, settings: EntrySettings, events: EventLineHandler) -> None:
+    def __init__(self, settings: EntrySettings, events: EventLogHandler) -> None:
         self.settings = settings
-        self.started_wall = read_wall_time()
+        self.started_wall_time = read_wall_time()
         self.started_at = read_boottime()
-        name = f"{settings.process}#{int(self.started_wall * 1000)}"
+        name = f"{settings.process}#{int(self.started_wall_time * 1000)}"
         self.name = ProcessName(name)
         self.clock = read_boottime
         self.is_stopping = False
         self.events = events
-        self.doors: list[Door] = []
+        self.listeners: list[HTTPListener] = []
         self.api_port = 0
         self.view = TopologyView()
-        self.store_path = StorePath(
+        self.proxy_selector = StoreProxySelector(
             self.clock,
-            lambda: self.announcer.presence.list_addresses(self.name),
+            lambda: self.presence_publisher.presence.list_addresses(self.name),
             random.Random(name),
         )
-        self.store = StoreClient(settings.store_address, path=self.store_path)
-        self.store_relay = StoreRelay(self.store, self.store_path)
+        self.store = StoreClient(settings.store_address, path=self.proxy_selector)
+        self.store_proxy = StoreProxy(self.store, self.proxy_selector)
         self.pool = ConnectionPool()
-        self.basis = Basis(
+        self.resources = SharedResources(
             settings,
             self.name,
             self.store,
             self.pool,
             self.view,
             self.clock,
-            self.read_wall,
+            self.get_wall_time,
         )
         self.metrics = GatewayMetrics()
-        self.announcer = Announcer(
+        self.presence_publisher = PresencePublisher(
             self.name,
             settings,
             self.store,
             self.view,
             clock=self.clock,
-            wall_clock=self.read_wall,
-            list_fresh_versions=lambda: self.control.orders.list_fresh_versions(),
+            wall_clock=self.get_wall_time,
+            list_unpublished_versions=lambda: (
+                self.control.orders.list_unpublished_versions()
+            ),
         )
-        self.presence = self.announcer.presence
-        self.configuration: ConfigurationWatch | None = None
-        self.admission: Admission | None = None
-        self.revocation = Revocation(self._find_key_error)
+        self.presence = self.presence_publisher.presence
+        self.configuration: ConfigurationWatcher | None = None
+        self.admission: AdmissionController | None = None
+        self.revocation = RevocationMonitor(self._find_key_error)
         self._make_upstream_side()
         self._make_jobs()
         self._make_control()
@@ -138,12 +140,12 @@
         if settings.api_address:
             self._make_api_door()
 
-    def read_wall(self) -> float:
+    def get_wall_time(self) -> float:
         """Seconds since the epoch, by the wall clock at the start.
 
         The wall clock itself may jump while the process runs.
         """
-        return self.started_wall + self.clock() - self.started_at
+        return self.started_wall_time + self.clock() - self.started_at
 
     def is_ready(self) -> bool:
         """Whether new clients may be sent here."""
@@ -153,11 +155,11 @@
         if self.settings.client_address:
             if not self.watch.is_loaded():
                 return False
-            ages.append(self.watch.operator.get_age())
+            ages.append(self.watch.operator.get_staleness())
         if self.configuration is not None:
             if not self.configuration.is_loaded:
                 return False
-            ages.append(self.configuration.tail.get_age())
+            ages.append(self.configuration.consumer.get_staleness())
         return max(ages, default=0.0) < READY_AGE
 
     async def run(self) -> None:
@@ -166,13 +168,13 @@
         stop = asyncio.Event()
         loop.add_signal_handler(signal.SIGTERM, stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
-        for door in self.doors:
-            port = door.listen()
-            if door.address == self.settings.api_address:
+        for listener in self.listeners:
+            port = listener.listen()
+            if listener.address == self.settings.api_address:
                 self.api_port = port
-            elif door.address == self.settings.peer_address:
-                host = door.address.rpartition(":")[0]
-                self.announcer.address = f"{host}:{port}"
+            elif listener.address == self.settings.peer_address:
+                host = listener.address.rpartition(":")[0]
+                self.presence_publisher.address = f"{host}:{port}"
         log_event(
             "process.start",
             name=self.name,
@@ -195,8 +197,8 @@
     async def kill(self) -> None:
         """Closes all connections at once."""
         self.owner.stop_all()
-        for door in self.doors:
-            await door.close()
+        for listener in self.listeners:
+            await listener.close()
         self.pool.close()
         self.store.close()
 
@@ -208,8 +210,8 @@
             self.jobs.run,
             self.control.run,
             self.owner.run,
-            self.announcer.tail.run,
-            self.announcer.run,
+            self.presence_publisher.consumer.run,
+            self.presence_publisher.run,
             self._probe_store,
         ]
         if self.configuration is not None:
@@ -217,37 +219,37 @@
         return work
 
     def _make_upstream_side(self) -> None:
-        side = make_upstream_side(
-            self.basis,
-            list_possible=self.presence.list_possible,
+        side = make_upstream_components(
+            self.resources,
+            list_possibly_live=self.presence.list_possibly_live,
             on_change=self._note_topology,
-            count_run=self._count_run,
+            on_executed=self._count_run,
         )
-        self.fleet, self.watch = side.fleet, side.watch
+        self.balancer, self.watch = side.balancer, side.watch
         self.sender, self.relay = side.sender, side.relay
 
     def _make_jobs(self) -> None:
-        self.followers = Followers(self.name, self.presence)
+        self.assignment = PartitionAssignment(self.name, self.presence)
         self.jobs = make_job_store(
-            self.basis,
-            followers=self.followers,
+            self.resources,
+            assignment=self.assignment,
             on_change=self._note_job,
             may_load=self._may_load_jobs,
         )
-        tools = JobTools(
+        dependencies = JobDependencies(
             view=self.view,
-            fleet=self.fleet,
-            streams=StreamRunner(self.fleet, self.pool),
+            balancer=self.balancer,
+            streams=ItemRunner(self.balancer, self.pool),
             sender=self.sender,
             store=self.jobs,
             metrics=self.metrics,
             clock=self.clock,
         )
-        self.owner = JobOwner(
+        self.owner = JobManager(
             self.name,
-            tools,
+            dependencies,
             self.presence,
-            followers=self.followers,
+            assignment=self.assignment,
             clock=self.clock,
             lifetime=self.settings.result_lifetime,
             is_withdrawn=self._is_withdrawn,
@@ -255,28 +257,30 @@
 
     def _make_control(self) -> None:
         self.control = make_control(
-            self.basis, fleet=self.fleet, announcer=self.announcer
+            self.resources,
+            balancer=self.balancer,
+            presence_publisher=self.presence_publisher,
         )
 
     def _make_platform_doors(self) -> None:
         settings = self.settings
         handlers = ClientHandlers(
-            HandlerTools(
+            HandlerDependencies(
                 view=self.view,
                 watch=self.watch,
                 sender=self.sender,
                 relay=self.relay,
                 jobs=self.jobs,
                 clock=self.clock,
-                wall_clock=self.read_wall,
+                wall_clock=self.get_wall_time,
                 metrics=self.metrics,
                 choose_first_owner=self.owner.choose_first_owner,
                 key_bound=settings.key_bound,
                 fails_closed=settings.fails_closed,
-                peers=PeerClient(self.name, self.followers, self.presence, self.pool),
+                peers=PeerClient(self.name, self.assignment, self.presence, self.pool),
             )
         )
-        self.client_door = self._add_door(handlers.handle, settings.client_address)
+        self.client_listener = self._add_door(handlers.handle, settings.client_address)
         self._add_door(self._answer_ready, settings.ready_address)
         self._add_door(self._answer_metrics, settings.metrics_address)
         self.client_handlers = handlers
@@ -284,29 +288,31 @@
 
     def _add_door(
         self,
-        handler: Callable[[ClientRequest], Awaitable[Reply | StreamReply]],
+        handler: Callable[[ClientRequest], Awaitable[Response | StreamingResponse]],
         address: str,
-    ) -> Door | None:
+    ) -> HTTPListener | None:
         if not address:
             return None
-        door = Door(handler, address, PLATFORM_PROTOCOL, idle_timeout=IDLE_TIMEOUT)
-        self.doors.append(door)
-        return door
+        listener = HTTPListener(
+            handler, address, PLATFORM_CODEC, idle_timeout=IDLE_TIMEOUT
+        )
+        self.listeners.append(listener)
+        return listener
 
     def _make_api_door(self) -> None:
         settings = self.settings
-        self.configuration = ConfigurationWatch(
+        self.configuration = ConfigurationWatcher(
             self.store,
             self.view,
             clock=self.clock,
             key_bound=settings.key_bound,
-            read_upstream_age=self.watch.upstreams.get_age,
+            read_upstream_age=self.watch.upstreams.get_staleness,
             on_change=self.revocation.check_all,
         )
-        self.admission = Admission(
+        self.admission = AdmissionController(
             self._count_places, self.clock, maximum_open=settings.max_open_calls
         )
-        tools = ApiTools(
+        dependencies = ApiDependencies(
             settings=settings,
             view=self.view,
             watch=self.configuration,
@@ -315,71 +321,73 @@
             jobs=self.jobs,
             admission=self.admission,
             revocation=self.revocation,
-            guard=OnceGuard(self.store, parts=settings.store_parts),
+            deduplicator=CallDeduplicator(self.store, parts=settings.store_parts),
             metrics=self.metrics,
             clock=self.clock,
-            wall_clock=self.read_wall,
+            wall_clock=self.get_wall_time,
             choose_first_owner=self.owner.choose_first_owner,
             is_stopping=lambda: self.is_stopping,
         )
         operators = OperatorHandlers(
-            tools, self.events, self._read_state, self._render_metrics
+            dependencies, self.events, self._read_state, self._render_metrics
         )
-        door = Door(
-            ApiHandlers(tools, operators).handle,
+        listener = HTTPListener(
+            ApiHandlers(dependencies, operators).handle,
             settings.api_address,
-            API_PROTOCOL,
+            API_CODEC,
             idle_timeout=IDLE_TIMEOUT,
             ssl_options=make_ssl_options(settings),
         )
-        door.max_body_bytes = settings.max_body_bytes
-        self.doors.append(door)
+        listener.max_body_bytes = settings.max_body_bytes
+        self.listeners.append(listener)
 
     # Callbacks
 
-    async def _answer_ready(self, request: ClientRequest) -> Reply:
-        return Reply(200 if self.is_ready() else 503)
+    async def _answer_ready(self, request: ClientRequest) -> Response:
+        return Response(200 if self.is_ready() else 503)
 
-    async def _answer_peer(self, request: ClientRequest) -> Reply | StreamReply:
+    async def _answer_peer(
+        self, request: ClientRequest
+    ) -> Response | StreamingResponse:
         if not is_store_call(request.path):
             return await self.client_handlers.handle_forwarded(request)
         try:
-            return await self.store_relay.handle(request)
+            return await self.store_proxy.handle(request)
         except BuckthornstileError as error:
             log_event(
                 "store.call_not_passed_on",
                 reason=error.message,
                 verdict=error.verdict.value,
             )
-            return make_error_reply(error)
+            return make_error_response(error)
 
-    async def _answer_metrics(self, request: ClientRequest) -> Reply:
+    async def _answer_metrics(self, request: ClientRequest) -> Response:
         text = self._render_metrics()
-        return Reply(200, text.encode(), (("Content-Type", "text/plain"),))
+        return Response(200, text.encode(), (("Content-Type", "text/plain"),))
 
     def _render_metrics(self) -> str:
         configuration = self.configuration
         revision = configuration.current.revision if configuration else 0
         gauges = {
-            "open_requests": sum(door.open for door in self.doors),
+            "open_requests": sum(listener.open for listener in self.listeners),
             "jobs_running": self.owner.count_running(),
             "jobs_kept": len(self.jobs.table.jobs),
             "upstreams_known": len(self.view.upstreams),
             "configuration_version": getattr(self.view.configuration, "version", 0),
             "configuration_revision": revision,
-            "configuration_age_seconds": self.watch.operator.get_age(),
-            "jobs_age_seconds": self.jobs.get_age(),
-            "holds_lease": float(self.control.keeper.lease.holds()),
+            "configuration_age_seconds": self.watch.operator.get_staleness(),
+            "jobs_age_seconds": self.jobs.get_staleness(),
+            "holds_lease": float(self.control.lease_manager.lease.holds()),
             "ready": float(self.is_ready()),
         }
         return self.metrics.render(self.events.counters, gauges)
 
     def _read_state(self) -> ProcessState:
-        fold = self.control.keeper.fold
+        fold = self.control.lease_manager.fold
         return ProcessState(
             ready=self.is_ready(),
             stopping=self.is_stopping,
-            is_holder=self.control.keeper.lease.holds(),
+            is_holder=self.control.lease_manager.lease.holds(),
             term=fold.term,
             holder=fold.holder,
             jobs=self.owner.count_running(),
@@ -387,27 +395,29 @@
         )
 
     def _note_topology(self) -> None:
-        self.fleet.forget_gone()
+        self.balancer.prune()
         configuration = self.view.configuration
-        if configuration is not None and self.client_door is not None:
+        if configuration is not None and self.client_listener is not None:
             limits = configuration.limits
-            self.client_door.max_body_bytes = limits.max_body_bytes
-            self.client_door.max_header_bytes = limits.max_header_bytes
+            self.client_listener.max_body_bytes = limits.max_body_bytes
+            self.client_listener.max_header_bytes = limits.max_header_bytes
 
     def _may_load_jobs(self) -> bool:
         """Whether what calls need is read, so that jobs may be loaded beside it."""
         is_read = self.watch.operator.is_loaded and self.watch.upstreams.is_loaded
-        return is_read and self.announcer.is_settled()
+        return is_read and self.presence_publisher.is_presence_known()
 
     def _note_job(self, job: Job) -> None:
-        self.owner.note_change(job)
+        self.owner.on_job_changed(job)
 
     def _count_run(self, account: AccountId, age: float) -> None:
-        self.announcer.counter.count(account, self.read_wall() - age)
+        self.presence_publisher.counter.count(account, self.get_wall_time() - age)
 
     def _count_places(self, service: ServiceName) -> int:
         """Counts this entry's share of the places of a service's upstreams."""
-        slots = sum(upstream.slots for upstream in self.view.list_usable(service))
+        slots = sum(
+            upstream.slots for upstream in self.view.list_available_upstreams(service)
+        )
         entries = max(1, len(self.presence.list_live()))
         return max(1, -(-slots // entries))
 
@@ -438,7 +448,7 @@
             await asyncio.sleep(RESTART_PAUSE)
 
     async def _probe_store(self) -> None:
-        await self.store_path.keep_probing(self.store.probe)
+        await self.proxy_selector.run_probes(self.store.probe)
 
     async def _check_keys(self) -> None:
         while True:
@@ -446,31 +456,33 @@
             self.revocation.check_all()
 
     async def _drain(self) -> None:
-        log_event("process.drain", open=sum(door.open for door in self.doors))
+        log_event(
+            "process.drain", open=sum(listener.open for listener in self.listeners)
+        )
         self.is_stopping = True
-        self.announcer.is_leaving = True
+        self.presence_publisher.is_leaving = True
         self.owner.is_leaving = True
-        self.control.keeper.is_leaving = True
-        for door in self.doors:
-            if door.handler != self._answer_ready:
-                door.start_closing()
-        await self.owner.save_all()
-        await self.announcer.announce()
+        self.control.lease_manager.is_leaving = True
+        for listener in self.listeners:
+            if listener.handler != self._answer_ready:
+                listener.start_draining()
+        await self.owner.checkpoint_all()
+        await self.presence_publisher.announce()
         began = self.clock()
         end = began + self.settings.stop_grace - STOP_MARGIN
         await self._finish_work(began + DRAIN_TIME, end)
         # From here on no request is read that could not be answered any more.
-        for door in self.doors:
-            door.close_idle()
+        for listener in self.listeners:
+            listener.close_idle()
         await self._finish_work(self.clock(), end)
-        await self.announcer.announce()
-        for door in self.doors:
-            await door.close()
+        await self.presence_publisher.announce()
+        for listener in self.listeners:
+            await listener.close()
 
     async def _finish_work(self, earliest: float, latest: float) -> None:
         """Waits until nothing is open, between two times."""
         while self.clock() < latest:
-            open_work = sum(door.open for door in self.doors)
+            open_work = sum(listener.open for listener in self.listeners)
             open_work += self.owner.count_running()
             if not open_work and self.clock() >= earliest:
                 return
@@ -492,7 +504,7 @@
     Args:
         settings: Its settings.
     """
-    events = set_up_event_lines(settings.process)
+    events = set_up_event_logging(settings.process)
 
     async def run() -> None:
         await Entry(settings, events).run()
