--- a/buckthornstile/entry/_door.py
+++ b/buckthornstile/entry/_http_listener.py
@@ -21,21 +21,21 @@
 from tornado.netutil import bind_sockets
 
 from buckthornstile.base import BuckthornstileError, ErrorCode, Verdict
-from buckthornstile.calls import Headers, Reply, StreamReply
 from buckthornstile.logs import log_event
+from buckthornstile.messages import Headers, Response, StreamingResponse
 
 MAX_HEADER_BYTES = 64 << 10
 """Bytes; a longer head cannot be read far enough to be answered."""
 MAX_BODY_BYTES = 64 << 20
 BACKLOG = 1024
 
-AnyReply = Reply | StreamReply
+AnyResponse = Response | StreamingResponse
 AnyRequest = Any
 """What the door's protocol makes of a request; it has an ``id`` and a ``path``."""
 
 
 @dataclass(frozen=True, slots=True)
-class DoorProtocol:
+class HTTPCodec:
     """How requests are read and answers written at a door.
 
     Args:
@@ -45,14 +45,14 @@
     """
 
     decode: Callable[[str, str, HTTPHeaders, bytes], AnyRequest]
-    encode: Callable[[AnyRequest, AnyReply], Headers]
-    render_error: Callable[[BuckthornstileError], Reply]
+    encode: Callable[[AnyRequest, AnyResponse], Headers]
+    render_error: Callable[[BuckthornstileError], Response]
 
 
-Handler = Callable[[AnyRequest], Awaitable[AnyReply]]
+Handler = Callable[[AnyRequest], Awaitable[AnyResponse]]
 
 
-class Door(HTTPServerConnectionDelegate):
+class HTTPListener(HTTPServerConnectionDelegate):
     """Serves one address.
 
     A handler's task is cancelled when its client leaves.
@@ -69,7 +69,7 @@
         self,
         handler: Handler,
         address: str,
-        protocol: DoorProtocol,
+        protocol: HTTPCodec,
         *,
         idle_timeout: float,
         ssl_options: ssl.SSLContext | None = None,
@@ -79,8 +79,8 @@
         self.protocol = protocol
         self.max_body_bytes = MAX_BODY_BYTES
         self.max_header_bytes = MAX_HEADER_BYTES
-        self.is_closing = False
-        self.is_shut = False
+        self.is_draining = False
+        self.is_stopped = False
         self._idle: dict[object, HTTPConnection] = {}
         self._begun: set[_Message] = set()
         self._server = HTTPServer(
@@ -98,9 +98,9 @@
         self._server.add_sockets(sockets)
         return int(sockets[0].getsockname()[1])
 
-    def start_closing(self) -> None:
+    def start_draining(self) -> None:
         """Tells clients with each answer that the connection ends with it."""
-        self.is_closing = True
+        self.is_draining = True
         self._server.conn_params.no_keep_alive = True
 
     @property
@@ -110,7 +110,7 @@
 
     def close_idle(self) -> None:
         """Reads no further request: closes all connections without one."""
-        self.is_shut = True
+        self.is_stopped = True
         self._server.stop()
         for connection in list(self._idle.values()):
             connection.close()  # type: ignore[attr-defined]
@@ -128,7 +128,7 @@
         # Called when the connection begins to wait for a request: one that was just
         # accepted does so an iteration of the event loop later.
         self._idle[server_conn] = request_conn
-        if self.is_shut:
+        if self.is_stopped:
             request_conn.close()  # type: ignore[attr-defined]
         return _Message(self, server_conn, request_conn)
 
@@ -149,9 +149,12 @@
     """One request and its answer."""
 
     def __init__(
-        self, door: Door, server_connection: object, connection: HTTPConnection
+        self,
+        listener: HTTPListener,
+        server_connection: object,
+        connection: HTTPConnection,
     ) -> None:
-        self.door = door
+        self.listener = listener
         self.server_connection = server_connection
         self.connection = connection
         self.line: RequestStartLine | None = None
@@ -168,11 +171,11 @@
     ) -> Awaitable[None] | None:
         assert isinstance(start_line, RequestStartLine)
         self.line, self.headers = start_line, headers
-        self.door.begin(self)
-        if self._count_header_bytes() > self.door.max_header_bytes:
+        self.listener.begin(self)
+        if self._count_header_bytes() > self.listener.max_header_bytes:
             return self._refuse(ErrorCode.HEADERS_TOO_LARGE, "the headers are too long")
         declared = headers.get("Content-Length", "")
-        if declared.isdigit() and int(declared) > self.door.max_body_bytes:
+        if declared.isdigit() and int(declared) > self.listener.max_body_bytes:
             return self._refuse_body()
         return None
 
@@ -180,7 +183,7 @@
         if self.is_refused:
             return None
         self.length += len(chunk)
-        if self.length > self.door.max_body_bytes:
+        if self.length > self.listener.max_body_bytes:
             return self._refuse_body()
         self.body.append(chunk)
         return None
@@ -189,12 +192,12 @@
         if self.is_refused:
             return
         self.task = asyncio.create_task(self._serve())
-        self.task.add_done_callback(lambda _: self.door.end(self))
+        self.task.add_done_callback(lambda _: self.listener.end(self))
         self.connection.set_close_callback(self._note_left)  # type: ignore[attr-defined]
 
     def on_connection_close(self) -> None:
         self.body.clear()
-        self.door.end(self)
+        self.listener.end(self)
 
     def _note_left(self) -> None:
         if self.task is not None:
@@ -204,7 +207,7 @@
         return sum(len(name) + len(value) + 4 for name, value in self.headers.get_all())
 
     def _refuse_body(self) -> Awaitable[None]:
-        limit = self.door.max_body_bytes
+        limit = self.listener.max_body_bytes
         return self._refuse(
             ErrorCode.BODY_TOO_LARGE, f"the body is longer than {limit} bytes"
         )
@@ -214,16 +217,16 @@
         self.is_refused = True
         self.body.clear()
         request = self._decode(b"")
-        reply = self.door.protocol.render_error(BuckthornstileError(code, message))
+        reply = self.listener.protocol.render_error(BuckthornstileError(code, message))
         log_event("request.too_large", request=request.id, reason=message)
         try:
             await self._write(request, reply, is_last=True)
         finally:
-            self.door.end(self)
+            self.listener.end(self)
 
     def _decode(self, body: bytes) -> AnyRequest:
         assert self.line is not None
-        return self.door.protocol.decode(
+        return self.listener.protocol.decode(
             self.line.method, self.line.path, self.headers, body
         )
 
@@ -231,16 +234,16 @@
         request = self._decode(b"".join(self.body))
         try:
             reply = await self._handle(request)
-            if isinstance(reply, StreamReply):
+            if isinstance(reply, StreamingResponse):
                 await self._write_stream(request, reply)
             else:
-                await self._write(request, reply, is_last=self.door.is_closing)
+                await self._write(request, reply, is_last=self.listener.is_draining)
         except asyncio.CancelledError:
             log_event("client.left", request=request.id, path=request.path[:40])
 
-    async def _handle(self, request: AnyRequest) -> AnyReply:
+    async def _handle(self, request: AnyRequest) -> AnyResponse:
         try:
-            return await self.door.handler(request)
+            return await self.listener.handler(request)
         except Exception as error:
             log_event("request.failed", request=request.id, reason=repr(error))
             failure = BuckthornstileError(
@@ -248,20 +251,22 @@
                 "the entry failed on the request",
                 verdict=Verdict.MAY_HAVE_RUN,
             )
-            return self.door.protocol.render_error(failure)
+            return self.listener.protocol.render_error(failure)
 
     def _make_head(
-        self, request: AnyRequest, reply: AnyReply, is_last: bool
+        self, request: AnyRequest, reply: AnyResponse, is_last: bool
     ) -> tuple[ResponseStartLine, HTTPHeaders]:
         headers = HTTPHeaders()
-        for name, value in self.door.protocol.encode(request, reply):
+        for name, value in self.listener.protocol.encode(request, reply):
             headers.add(name, value)
         if is_last:
             headers["Connection"] = "close"
         reason = responses.get(reply.status, "Unknown")
         return ResponseStartLine("HTTP/1.1", reply.status, reason), headers
 
-    async def _write(self, request: AnyRequest, reply: Reply, *, is_last: bool) -> None:
+    async def _write(
+        self, request: AnyRequest, reply: Response, *, is_last: bool
+    ) -> None:
         line, headers = self._make_head(request, reply, is_last)
         if reply.status not in (204, 304):
             headers["Content-Length"] = str(len(reply.body))
@@ -272,8 +277,10 @@
             if is_last:
                 self.connection.close()  # type: ignore[attr-defined]
 
-    async def _write_stream(self, request: AnyRequest, reply: StreamReply) -> None:
-        line, headers = self._make_head(request, reply, self.door.is_closing)
+    async def _write_stream(
+        self, request: AnyRequest, reply: StreamingResponse
+    ) -> None:
+        line, headers = self._make_head(request, reply, self.listener.is_draining)
         # Small events must not wait for the acknowledgement of earlier ones.
         self.connection.stream.set_nodelay(True)  # type: ignore[attr-defined]
         with contextlib.suppress(StreamClosedError):
@@ -288,5 +295,5 @@
                     self.connection.close()  # type: ignore[attr-defined]
                     return
             self.connection.finish()
-            if self.door.is_closing:
+            if self.listener.is_draining:
                 self.connection.close()  # type: ignore[attr-defined]
--- a/buckthornstile/entry/_announcer.py
+++ b/buckthornstile/entry/_presence_publisher.py
@@ -5,19 +5,19 @@
 from collections.abc import Callable
 
 from buckthornstile.base import BuckthornstileError, ProcessName
+from buckthornstile.consumers import PartitionConsumer
 from buckthornstile.duties import UsageCounter, UsageTotals
 from buckthornstile.gateway import (
-    PRESENCE_PERIOD,
+    PRESENCE_INTERVAL,
     PRESENCE_TOPIC,
+    LoadedVersions,
     PresenceRecord,
     PresenceTable,
-    Versions,
     decode_presence,
 )
 from buckthornstile.logs import log_event
 from buckthornstile.platform import StoreClient
 from buckthornstile.settings import EntrySettings
-from buckthornstile.tails import Tail
 from buckthornstile.topology import TopologyView
 
 SETTLE_TIME = 0.3
@@ -31,7 +31,7 @@
 """Seconds before a record is made again that the store did not take."""
 
 
-class Announcer:
+class PresencePublisher:
     """Appends this process's presence records and reads those of all.
 
     Args:
@@ -41,7 +41,7 @@
         view: Takes what others saw engines hold.
         clock: The time in seconds; it must go on while suspended.
         wall_clock: Seconds since the epoch.
-        list_fresh_versions: Gives what engines hold before their entries say so.
+        list_unpublished_versions: Gives what engines hold before their entries say so.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         *,
         clock: Callable[[], float],
         wall_clock: Callable[[], float],
-        list_fresh_versions: Callable[[], Versions],
+        list_unpublished_versions: Callable[[], LoadedVersions],
     ) -> None:
         self.name = name
         self.settings = settings
@@ -61,31 +61,31 @@
         self.view = view
         self.clock = clock
         self.wall_clock = wall_clock
-        self.list_fresh_versions = list_fresh_versions
+        self.list_unpublished_versions = list_unpublished_versions
         self.is_leaving = False
         self.address = settings.peer_address
         self.presence = PresenceTable(clock)
         self.counter = UsageCounter(settings.usage_window)
         self.totals = UsageTotals(settings.usage_window)
-        self.tail = Tail(
+        self.consumer = PartitionConsumer(
             store,
             PRESENCE_TOPIC,
             0,
             clock=clock,
             wait=PRESENCE_WAIT,
             pause=PRESENCE_PAUSE,
-            on_raw=self._apply,
-            on_read=self.presence.note_read,
+            on_raw_record=self._apply,
+            on_caught_up=self.presence.on_caught_up,
         )
         self._news = asyncio.Event()
 
-    def is_settled(self) -> bool:
+    def is_presence_known(self) -> bool:
         """Whether the entries that live are known well enough to act on."""
-        if self.tail.returned_at < 0:
+        if self.consumer.reconnected_at < 0:
             return False
-        return self.clock() - self.tail.returned_at > SETTLE_TIME
+        return self.clock() - self.consumer.reconnected_at > SETTLE_TIME
 
-    def hurry(self) -> None:
+    def request_publish(self) -> None:
         """Asks for a record at once, since there is news."""
         self._news.set()
 
@@ -96,7 +96,7 @@
             self._news.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(
-                    PRESENCE_PERIOD if is_stored else RETRY_PAUSE
+                    PRESENCE_INTERVAL if is_stored else RETRY_PAUSE
                 ):
                     await self._news.wait()
 
@@ -112,7 +112,7 @@
             self.settings.process,
             is_leaving=self.is_leaving,
             counts=self.counter.get_counts(now),
-            versions=self.list_fresh_versions(),
+            versions=self.list_unpublished_versions(),
             zone=self.settings.failure_domain,
             address=self.address,
             made_at=now,
@@ -134,5 +134,5 @@
             return
         self.presence.apply(record)
         self.totals.apply(record.name, record.counts, record.made_at)
-        for upstream_id, (born, versions) in record.versions.items():
-            self.view.note_versions(upstream_id, born, versions)
+        for upstream_id, (started_at_ms, versions) in record.versions.items():
+            self.view.record_versions(upstream_id, started_at_ms, versions)
--- a/buckthornstile/entry/tests/world.py
+++ b/buckthornstile/entry/tests/in_process.py
@@ -14,20 +14,20 @@
 from tornado.netutil import bind_sockets
 
 from buckthornstile.entry import Entry
-from buckthornstile.exchanges import Answer, ConnectionPool, OutgoingRequest
+from buckthornstile.http_client import ConnectionPool, HTTPRequest, HTTPResponse
 from buckthornstile.jobs import JobId
-from buckthornstile.logs import EventLineHandler
+from buckthornstile.logs import EventLogHandler
 from buckthornstile.platform._node_settings import decode_node_settings
-from standins.faults import FaultTable
-from standins.store import make_application as make_store
+from standins.faults import FaultInjector
+from standins.store import make_application as make_store_client
 from standins.worker import WorkerState
 from standins.worker import make_application as make_worker
 
 HOST = "mill.example"
-KEY, OTHER_KEY = "key-of-mill", "key-of-quay"
-DESK, MODELS = "desk", "models"
-MODEL = "llm"
-SETTLE = 8.0  # seconds for anything to settle on a busy machine
+API_KEY, OTHER_API_KEY = "key-of-mill", "key-of-quay"
+PLAIN_SERVICE, MODEL_SERVICE = "desk", "models"
+MODEL_NAME = "llm"
+SETTLE_TIMEOUT = 8.0  # seconds for anything to settle on a busy machine
 TEST_TIME = 40.0  # seconds for one test
 
 
@@ -38,17 +38,19 @@
         return probe.getsockname()[1]
 
 
-class Worker:
+class InProcessWorker:
     """A worker's stand-in and its entry in the store."""
 
-    def __init__(self, world: "World", name: str, service: str, **state: Any) -> None:
-        self.world = world
+    def __init__(
+        self, deployment: "InProcessDeployment", name: str, service: str, **state: Any
+    ) -> None:
+        self.deployment = deployment
         self.name = name
         self.service = service
         self.zone = state.pop("zone", "bench-a")
         self.state = WorkerState(name, **state)
         self.application = make_worker(self.state)
-        self.faults: FaultTable = self.application.faults  # type: ignore[attr-defined]
+        self.faults: FaultInjector = self.application.faults  # type: ignore[attr-defined]
         self.port = 0
         self.server: HTTPServer | None = None
 
@@ -78,11 +80,11 @@
             "born": 1,
             "models": models,
         } | changes
-        self.world.put("keyed.servers", self.name, json.dumps(entry).encode())
+        self.deployment.put("keyed.servers", self.name, json.dumps(entry).encode())
 
     def remove_entry(self) -> None:
         """Removes the entry."""
-        self.world.put("keyed.servers", self.name, b"")
+        self.deployment.put("keyed.servers", self.name, b"")
 
     def list_runs(self, finished: bool | None = None) -> list[dict[str, Any]]:
         """Lists the runs that the worker saw."""
@@ -105,28 +107,28 @@
             self.server = None
 
 
-class World:
+class InProcessDeployment:
     """The deployment."""
 
     def __init__(self) -> None:
-        self.application = make_store()
+        self.application = make_store_client()
         self.log = self.application.log  # type: ignore[attr-defined]
-        self.faults: FaultTable = self.application.faults  # type: ignore[attr-defined]
+        self.faults: FaultInjector = self.application.faults  # type: ignore[attr-defined]
         self.journal = self.application.journal  # type: ignore[attr-defined]
         self.store_port = 0
         self.store_server: HTTPServer | None = None
-        self.workers: dict[str, Worker] = {}
+        self.workers: dict[str, InProcessWorker] = {}
         self.entries: dict[str, Entry] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.pool = ConnectionPool()
         self.version = 0
         self.routes = make_routes()
         self.accounts = [
-            {"name": "mill", "apiKeys": [KEY]},
-            {"name": "quay", "apiKeys": [OTHER_KEY]},
+            {"name": "mill", "apiKeys": [API_KEY]},
+            {"name": "quay", "apiKeys": [OTHER_API_KEY]},
         ]
 
-    async def __aenter__(self) -> "World":
+    async def __aenter__(self) -> "InProcessDeployment":
         self.descriptor = os.open(os.devnull, os.O_WRONLY)
         self.start_store()
         self.put_configuration()
@@ -167,12 +169,12 @@
             "version": self.version,
             "routes": self.routes,
             "services": [
-                {"name": DESK, "healthPath": "/healthz", "maxConnections": 50},
+                {"name": PLAIN_SERVICE, "healthPath": "/healthz", "maxConnections": 50},
                 {
-                    "name": MODELS,
+                    "name": MODEL_SERVICE,
                     "healthPath": "/healthz",
                     "maxConnections": 50,
-                    "engine": {"models": [{"name": MODEL}]},
+                    "engine": {"models": [{"name": MODEL_NAME}]},
                 },
             ],
             "limits": {"maxBodyBytes": 1 << 20},
@@ -182,14 +184,14 @@
 
     def name_version(self, version: int) -> None:
         """Names a version, as a trainer does."""
-        value = json.dumps({"model": MODEL, "version": version}).encode()
-        self.put("keyed.op", f"version/{MODEL}", value)
+        value = json.dumps({"model": MODEL_NAME, "version": version}).encode()
+        self.put("keyed.op", f"version/{MODEL_NAME}", value)
 
-    def add_worker(self, name: str, service: str, **state: Any) -> Worker:
+    def add_worker(self, name: str, service: str, **state: Any) -> InProcessWorker:
         """Starts a worker."""
-        if service == MODELS:
-            state.setdefault("versions", {MODEL: 1})
-        worker = self.workers[name] = Worker(self, name, service, **state)
+        if service == MODEL_SERVICE:
+            state.setdefault("versions", {MODEL_NAME: 1})
+        worker = self.workers[name] = InProcessWorker(self, name, service, **state)
         worker.start()
         return worker
 
@@ -225,7 +227,7 @@
         )
         peer_address = f"127.0.0.1:{find_port()}"
         settings = settings.model_copy(update={"peer_address": peer_address})
-        events = EventLineHandler(settings.process, descriptor=self.descriptor)
+        events = EventLogHandler(settings.process, descriptor=self.descriptor)
         entry = self.entries[name] = Entry(settings, events)
         task = self.tasks[name] = asyncio.create_task(entry.run())
         await asyncio.sleep(0)
@@ -249,7 +251,7 @@
         await entry.kill()
 
     async def wait_for(
-        self, condition: Callable[[], object], *, timeout: float = SETTLE
+        self, condition: Callable[[], object], *, timeout: float = SETTLE_TIMEOUT
     ) -> None:
         """Waits until a condition holds."""
         async with asyncio.timeout(timeout):
@@ -257,7 +259,7 @@
                 await asyncio.sleep(0.01)
 
     async def retry(
-        self, step: Callable[[], Awaitable[bool]], *, timeout: float = SETTLE
+        self, step: Callable[[], Awaitable[bool]], *, timeout: float = SETTLE_TIMEOUT
     ) -> None:
         """Repeats a step until it gives True."""
         async with asyncio.timeout(timeout):
@@ -273,21 +275,21 @@
         target: str,
         *,
         request_id: str = "",
-        key: str | None = KEY,
+        key: str | None = API_KEY,
         body: bytes | None = None,
         headers: tuple[tuple[str, str], ...] = (),
-    ) -> Answer:
+    ) -> HTTPResponse:
         """Sends a client's request."""
         sent = [("Host", HOST), *headers]
         if request_id:
             sent.append(("Request-Id", request_id))
         if key is not None:
             sent.append(("Credential", key))
-        request = OutgoingRequest(method, target, sent, body)
+        request = HTTPRequest(method, target, sent, body)
         address = self.entries[entry].settings.client_address
         return await self.pool.exchange(address, request, fresh=True)
 
-    async def call(self, entry: str, request_id: str, **options: Any) -> Answer:
+    async def call(self, entry: str, request_id: str, **options: Any) -> HTTPResponse:
         """Sends a plain request."""
         options.setdefault("headers", (("Deadline-Ms", "2000"),))
         target = options.pop("target", "/orders/7")
@@ -352,7 +354,7 @@
             "name": "orders",
             "pathPrefix": "/orders/",
             "kind": "safe",
-            "service": DESK,
+            "service": PLAIN_SERVICE,
             "maxAttempts": 3,
         },
         common
@@ -360,7 +362,7 @@
             "name": "once",
             "pathPrefix": "/once/",
             "kind": "unsafe",
-            "service": DESK,
+            "service": PLAIN_SERVICE,
             "maxAttempts": 3,
         },
         common
@@ -368,7 +370,7 @@
             "name": "scores",
             "pathPrefix": "/scores/",
             "kind": "safe",
-            "service": DESK,
+            "service": PLAIN_SERVICE,
             "maxAttempts": 3,
             "allowAnonymous": True,
         },
@@ -377,7 +379,7 @@
             "name": "steps",
             "pathPrefix": "/steps/",
             "kind": "rollout",
-            "service": MODELS,
+            "service": MODEL_SERVICE,
             "maxAttempts": 3,
             "resultDeadlineMs": 5000,
             "retentionS": 20,
@@ -391,14 +393,14 @@
     """Makes a batch job's body."""
     return {
         "step": 1,
-        "model": MODEL,
+        "model": MODEL_NAME,
         "minVersion": minimum,
         "desiredCount": 1,
         "items": [
             {
                 "id": f"{prefix}{number}",
                 "path": f"/steps/1/{number}",
-                "headers": {"Model": MODEL, "Token-Counts": "10,20"},
+                "headers": {"Model": MODEL_NAME, "Token-Counts": "10,20"},
                 "body": "aGVsbG8=",
                 "tokens": 30,
                 "group": "g1",
@@ -430,16 +432,16 @@
     return struct.pack(">I", len(data)) + data
 
 
-def in_world(
-    test: Callable[[World], Coroutine[Any, Any, None]],
+def with_deployment(
+    test: Callable[[InProcessDeployment], Coroutine[Any, Any, None]],
 ) -> Callable[[], None]:
     """Runs a test in a world of its own."""
 
     @functools.wraps(test)
     def run() -> None:
         async def play() -> None:
-            async with World() as world, asyncio.timeout(TEST_TIME):
-                await test(world)
+            async with InProcessDeployment() as deployment, asyncio.timeout(TEST_TIME):
+                await test(deployment)
 
         asyncio.run(play())
 
--- a/buckthornstile/entry/tests/test_jobs.py
+++ b/buckthornstile/entry/tests/test_jobs.py
@@ -7,222 +7,244 @@
 
 import pytest
 
-from buckthornstile.entry.tests.world import (
-    DESK,
+from buckthornstile.entry.tests.in_process import (
     HOST,
-    MODELS,
-    OTHER_KEY,
-    World,
-    in_world,
+    MODEL_SERVICE,
+    OTHER_API_KEY,
+    PLAIN_SERVICE,
+    InProcessDeployment,
     make_job,
     make_text,
+    with_deployment,
 )
 from buckthornstile.platform import decode_job
 
 
-@in_world
-async def test_job_is_run_scored_and_listed_alike_everywhere(world: World) -> None:
-    world.add_worker("w1", DESK)
-    world.add_worker("m1", MODELS)
-    world.add_worker("m2", MODELS)
-    await world.add_entry("e1")
-    await world.add_entry("e2")
-    assert await world.submit("e1", make_job(5), "j1") == 202
-    first = await world.read_all("e1", "j1", 5)
-    second = await world.read_all("e2", "j1", 5)
+@with_deployment
+async def test_job_is_run_scored_and_listed_alike_everywhere(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    deployment.add_worker("m1", MODEL_SERVICE)
+    deployment.add_worker("m2", MODEL_SERVICE)
+    await deployment.add_entry("e1")
+    await deployment.add_entry("e2")
+    assert await deployment.submit("e1", make_job(5), "j1") == 202
+    first = await deployment.read_all("e1", "j1", 5)
+    second = await deployment.read_all("e2", "j1", 5)
     assert first == second
     for result in first:
         assert result["state"] == "complete"
         assert result["text"] == make_text(result["id"])
         assert result["versions"] == [1]
         assert result["score"].startswith("w1.")
-    _, data = await world.read_results("e2", "j1", after=3)
+    _, data = await deployment.read_results("e2", "j1", after=3)
     assert data == {"total": 5, "results": first[3:], "nextToken": 5}
 
 
-@in_world
-async def test_jobs_that_follow_each_other_share_an_owner(world: World) -> None:
+@with_deployment
+async def test_jobs_that_follow_each_other_share_an_owner(
+    deployment: InProcessDeployment,
+) -> None:
     """Whoever accepts them: so the owner knows what it sent to the engines."""
-    world.add_worker("w1", DESK)
-    world.add_worker("m1", MODELS)
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    deployment.add_worker("m1", MODEL_SERVICE)
     names = ["e1", "e2", "e3"]
     for name in names:
-        await world.add_entry(name)
+        await deployment.add_entry(name)
     for name in names:
-        entry = world.entries[name]
-        await world.wait_for(lambda one=entry: len(one.presence.list_live()) == 3)
+        entry = deployment.entries[name]
+        await deployment.wait_for(lambda one=entry: len(one.presence.list_live()) == 3)
     owners = set()
     for number, name in enumerate(names * 2):
         job = make_job(1, prefix=f"s{number}")
-        assert await world.submit(name, job, f"j{number}") == 202
-        owners.add((await world.find_owner(f"j{number}"))[0])
+        assert await deployment.submit(name, job, f"j{number}") == 202
+        owners.add((await deployment.find_owner(f"j{number}"))[0])
     assert len(owners) == 1
     owner = owners.pop()
     other = next(name for name in names if name != owner)
-    await world.kill(owner)
-    assert await world.submit(other, make_job(1, prefix="t"), "j9") == 202
-    await world.read_all(other, "j9", 1)
-
-
-@in_world
-async def test_repeated_submission_is_accepted_once(world: World) -> None:
-    world.add_worker("w1", DESK)
-    model = world.add_worker("m1", MODELS)
-    await world.add_entry("e1")
-    await world.add_entry("e2")
+    await deployment.kill(owner)
+    assert await deployment.submit(other, make_job(1, prefix="t"), "j9") == 202
+    await deployment.read_all(other, "j9", 1)
+
+
+@with_deployment
+async def test_repeated_submission_is_accepted_once(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    model = deployment.add_worker("m1", MODEL_SERVICE)
+    await deployment.add_entry("e1")
+    await deployment.add_entry("e2")
     job = make_job(3)
     statuses = await asyncio.gather(
-        world.submit("e1", job, "j1"), world.submit("e2", job, "j1")
+        deployment.submit("e1", job, "j1"), deployment.submit("e2", job, "j1")
     )
     assert statuses == [202, 202]
-    assert await world.submit("e2", job, "j1") == 202
-    results = await world.read_all("e2", "j1", 3)
+    assert await deployment.submit("e2", job, "j1") == 202
+    results = await deployment.read_all("e2", "j1", 3)
     assert len({result["id"] for result in results}) == 3
     await asyncio.sleep(0.3)
     assert len(model.list_runs()) == 3
 
 
-@in_world
-async def test_acknowledged_job_survives_all_entries(world: World) -> None:
-    world.add_worker("w1", DESK)
-    world.add_worker("m1", MODELS, event_seconds=0.4)
-    await world.add_entry("e1")
-    assert await world.submit("e1", make_job(3), "j1") == 202
-    await world.kill("e1")
-    world.workers["m1"].state.event_seconds = 0.002
-    world.faults.clear()
-    await world.add_entry("e2")
-    results = await world.read_all("e2", "j1", 3)
+@with_deployment
+async def test_acknowledged_job_survives_all_entries(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    deployment.add_worker("m1", MODEL_SERVICE, event_seconds=0.4)
+    await deployment.add_entry("e1")
+    assert await deployment.submit("e1", make_job(3), "j1") == 202
+    await deployment.kill("e1")
+    deployment.workers["m1"].state.event_seconds = 0.002
+    deployment.faults.clear()
+    await deployment.add_entry("e2")
+    results = await deployment.read_all("e2", "j1", 3)
     assert {result["text"] for result in results} == {
         make_text(f"i{number}") for number in range(3)
     }
 
 
-@in_world
-async def test_results_keep_their_place_through_an_owners_death(world: World) -> None:
-    world.add_worker("w1", DESK)
-    model = world.add_worker("m1", MODELS)
-    await world.add_entry("e1")
-    await world.add_entry("e2")
+@with_deployment
+async def test_results_keep_their_place_through_an_owners_death(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    model = deployment.add_worker("m1", MODEL_SERVICE)
+    await deployment.add_entry("e1")
+    await deployment.add_entry("e2")
     model.faults.add({"kind": "stall", "value": 2, "seconds": 30, "count": 1})
-    assert await world.submit("e1", make_job(6), "j1") == 202
-    owner, other = await world.find_owner("j1")
-    before = await world.read_all(other, "j1", 4)
-    await world.kill(owner)
-    after = await world.read_all(other, "j1", 6)
+    assert await deployment.submit("e1", make_job(6), "j1") == 202
+    owner, other = await deployment.find_owner("j1")
+    before = await deployment.read_all(other, "j1", 4)
+    await deployment.kill(owner)
+    after = await deployment.read_all(other, "j1", 6)
     assert after[: len(before)] == before
-    await world.add_entry("e3")
-    assert await world.read_all("e3", "j1", 6) == after
-
-
-@in_world
-async def test_former_owner_cannot_list_a_result(world: World) -> None:
-    world.add_worker("w1", DESK)
-    model = world.add_worker("m1", MODELS, event_seconds=0.3)
-    await world.add_entry("e1")
-    await world.add_entry("e2")
-    assert await world.submit("e1", make_job(3), "j1") == 202
-    owner, other = await world.find_owner("j1")
-    first, second = world.entries[owner], world.entries[other]
-    await world.wait_for(lambda: second.jobs.table.find("j1"))
+    await deployment.add_entry("e3")
+    assert await deployment.read_all("e3", "j1", 6) == after
+
+
+@with_deployment
+async def test_former_owner_cannot_list_a_result(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    model = deployment.add_worker("m1", MODEL_SERVICE, event_seconds=0.3)
+    await deployment.add_entry("e1")
+    await deployment.add_entry("e2")
+    assert await deployment.submit("e1", make_job(3), "j1") == 202
+    owner, other = await deployment.find_owner("j1")
+    first, second = deployment.entries[owner], deployment.entries[other]
+    await deployment.wait_for(lambda: second.jobs.table.find("j1"))
     job = second.jobs.table.find("j1")
     await second.jobs.claim(job)
     model.state.event_seconds = 0.002
-    results = await world.read_all(other, "j1", 3)
-    await world.wait_for(lambda: not first.owner.count_running())
-    assert await world.read_all(owner, "j1", 3) == results
-    records = world.log.get("keyed.jobs", job.part).records
+    results = await deployment.read_all(other, "j1", 3)
+    await deployment.wait_for(lambda: not first.owner.count_running())
+    assert await deployment.read_all(owner, "j1", 3) == results
+    records = deployment.log.get("keyed.jobs", job.part).records
     listed = [record for _, record in records if record[1:].startswith(b"r/j1/")]
     assert len(listed) == 3
 
 
-@in_world
-async def test_lost_and_late_appends_list_each_result_once(world: World) -> None:
-    world.add_worker("w1", DESK)
-    world.add_worker("m1", MODELS)
-    await world.add_entry("e1")
-    world.faults.add({"kind": "lose_answer", "target": "append", "count": 4})
-    world.faults.add({"kind": "late", "target": "append", "seconds": 1.2, "count": 3})
-    status = await world.submit("e1", make_job(4), "j1")
+@with_deployment
+async def test_lost_and_late_appends_list_each_result_once(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    deployment.add_worker("m1", MODEL_SERVICE)
+    await deployment.add_entry("e1")
+    deployment.faults.add({"kind": "lose_answer", "target": "append", "count": 4})
+    deployment.faults.add(
+        {"kind": "late", "target": "append", "seconds": 1.2, "count": 3}
+    )
+    status = await deployment.submit("e1", make_job(4), "j1")
     assert status in (202, 504, 502)
-    assert await world.submit("e1", make_job(4), "j1") == 202
-    results = await world.read_all("e1", "j1", 4)
+    assert await deployment.submit("e1", make_job(4), "j1") == 202
+    results = await deployment.read_all("e1", "j1", 4)
     await asyncio.sleep(1.5)
-    _, data = await world.read_results("e1", "j1")
+    _, data = await deployment.read_results("e1", "j1")
     assert data["results"] == results
 
 
-@in_world
-async def test_refused_job_never_runs(world: World) -> None:
-    model = world.add_worker("m1", MODELS)
-    await world.add_entry("e1")
-    world.faults.add({"kind": "busy", "target": "append"})
-    assert await world.submit("e1", make_job(2), "j1") == 503
-    world.faults.clear()
+@with_deployment
+async def test_refused_job_never_runs(deployment: InProcessDeployment) -> None:
+    model = deployment.add_worker("m1", MODEL_SERVICE)
+    await deployment.add_entry("e1")
+    deployment.faults.add({"kind": "busy", "target": "append"})
+    assert await deployment.submit("e1", make_job(2), "j1") == 503
+    deployment.faults.clear()
     await asyncio.sleep(0.6)
     assert model.list_runs() == []
-    assert (await world.read_results("e1", "j1"))[0] == 404
-
-
-@in_world
-async def test_job_of_unknown_outcome_is_no_promise(world: World) -> None:
-    await world.add_entry("e1")
-    world.faults.add({"kind": "lose_answer", "target": "append"})
-    assert await world.submit("e1", make_job(2), "j1") in (502, 504)
-
-
-@in_world
-async def test_dropped_history_changes_nothing(world: World) -> None:
-    world.add_worker("w1", DESK)
-    world.add_worker("m1", MODELS)
-    await world.add_entry("e1")
-    assert await world.submit("e1", make_job(4), "j1") == 202
-    results = await world.read_all("e1", "j1", 4)
-    for partition in world.log.partitions.values():
+    assert (await deployment.read_results("e1", "j1"))[0] == 404
+
+
+@with_deployment
+async def test_job_of_unknown_outcome_is_no_promise(
+    deployment: InProcessDeployment,
+) -> None:
+    await deployment.add_entry("e1")
+    deployment.faults.add({"kind": "lose_answer", "target": "append"})
+    assert await deployment.submit("e1", make_job(2), "j1") in (502, 504)
+
+
+@with_deployment
+async def test_dropped_history_changes_nothing(deployment: InProcessDeployment) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    deployment.add_worker("m1", MODEL_SERVICE)
+    await deployment.add_entry("e1")
+    assert await deployment.submit("e1", make_job(4), "j1") == 202
+    results = await deployment.read_all("e1", "j1", 4)
+    for partition in deployment.log.partitions.values():
         partition.drop_history()
-    await world.add_entry("e2")
-    assert await world.read_all("e2", "j1", 4) == results
-    assert (await world.call("e2", "r1")).status == 200
-
-
-@in_world
-async def test_ended_job_runs_nothing_more_and_stays_readable(world: World) -> None:
-    world.add_worker("w1", DESK)
-    model = world.add_worker("m1", MODELS, slots=1, event_seconds=0.1)
-    await world.add_entry("e1")
-    await world.add_entry("e2")
-    assert await world.submit("e1", make_job(6), "j1") == 202
+    await deployment.add_entry("e2")
+    assert await deployment.read_all("e2", "j1", 4) == results
+    assert (await deployment.call("e2", "r1")).status == 200
+
+
+@with_deployment
+async def test_ended_job_runs_nothing_more_and_stays_readable(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    model = deployment.add_worker("m1", MODEL_SERVICE, slots=1, event_seconds=0.1)
+    await deployment.add_entry("e1")
+    await deployment.add_entry("e2")
+    assert await deployment.submit("e1", make_job(6), "j1") == 202
     for _ in range(2):
-        answer = await world.send("e2", "DELETE", "/-/lots/j1")
+        answer = await deployment.send("e2", "DELETE", "/-/lots/j1")
         assert answer.status == 200
-    owner = world.entries["e1"].owner
-    await world.wait_for(lambda: not owner.count_running(), timeout=2.0)
+    owner = deployment.entries["e1"].owner
+    await deployment.wait_for(lambda: not owner.count_running(), timeout=2.0)
     runs = len(model.list_runs())
     await asyncio.sleep(0.4)
     assert len(model.list_runs()) == runs
-    assert (await world.read_results("e1", "j1"))[0] == 200
+    assert (await deployment.read_results("e1", "j1"))[0] == 200
 
 
-@in_world
-async def test_open_item_gives_its_body(world: World) -> None:
-    world.add_worker("w1", DESK)
-    world.add_worker("m1", MODELS, event_seconds=0.3)
-    await world.add_entry("e1")
-    await world.add_entry("e2")
-    assert await world.submit("e1", make_job(2), "j1") == 202
-    answer = await world.send("e2", "GET", "/-/items/j1?id=i1")
+@with_deployment
+async def test_open_item_gives_its_body(deployment: InProcessDeployment) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    deployment.add_worker("m1", MODEL_SERVICE, event_seconds=0.3)
+    await deployment.add_entry("e1")
+    await deployment.add_entry("e2")
+    assert await deployment.submit("e1", make_job(2), "j1") == 202
+    answer = await deployment.send("e2", "GET", "/-/items/j1?id=i1")
     assert (answer.status, bytes(answer.body)) == (200, b"hello")
-    answer = await world.send("e2", "GET", "/-/items/j1?id=nothing")
+    answer = await deployment.send("e2", "GET", "/-/items/j1?id=nothing")
     assert answer.status == 404
 
 
-@in_world
-async def test_job_is_hidden_from_other_accounts(world: World) -> None:
-    await world.add_entry("e1")
-    assert await world.submit("e1", make_job(2), "j1") == 202
-    answer = await world.send("e1", "GET", "/-/lots/j1", key=OTHER_KEY)
+@with_deployment
+async def test_job_is_hidden_from_other_accounts(
+    deployment: InProcessDeployment,
+) -> None:
+    await deployment.add_entry("e1")
+    assert await deployment.submit("e1", make_job(2), "j1") == 202
+    answer = await deployment.send("e1", "GET", "/-/lots/j1", key=OTHER_API_KEY)
     assert answer.status == 404
-    answer = await world.send("e1", "DELETE", "/-/lots/j1", key=OTHER_KEY)
+    answer = await deployment.send("e1", "DELETE", "/-/lots/j1", key=OTHER_API_KEY)
     assert answer.status == 404
 
 
@@ -239,12 +261,12 @@
     ],
 )
 def test_malformed_job_is_a_coded_error(change: dict[str, Any]) -> None:
-    @in_world
-    async def test(world: World) -> None:
-        world.add_worker("w1", DESK)
-        await world.add_entry("e1")
-        assert await world.submit("e1", make_job(1) | change, "j1") == 400
-        assert (await world.call("e1", "r1")).status == 200
+    @with_deployment
+    async def test(deployment: InProcessDeployment) -> None:
+        deployment.add_worker("w1", PLAIN_SERVICE)
+        await deployment.add_entry("e1")
+        assert await deployment.submit("e1", make_job(1) | change, "j1") == 400
+        assert (await deployment.call("e1", "r1")).status == 200
 
     test()
 
@@ -257,182 +279,204 @@
     ],
 )
 def test_broken_stream_goes_on_after_its_last_event(fault: dict[str, Any]) -> None:
-    @in_world
-    async def test(world: World) -> None:
-        world.add_worker("w1", DESK)
+    @with_deployment
+    async def test(deployment: InProcessDeployment) -> None:
+        deployment.add_worker("w1", PLAIN_SERVICE)
         for name in ("m1", "m2"):
-            world.add_worker(name, MODELS).faults.add(dict(fault))
-        await world.add_entry("e1")
-        assert await world.submit("e1", make_job(3), "j1") == 202
-        for result in await world.read_all("e1", "j1", 3):
+            deployment.add_worker(name, MODEL_SERVICE).faults.add(dict(fault))
+        await deployment.add_entry("e1")
+        assert await deployment.submit("e1", make_job(3), "j1") == 202
+        for result in await deployment.read_all("e1", "j1", 3):
             assert result["text"] == make_text(result["id"])
-        runs = [run for one in world.workers.values() for run in one.list_runs()]
+        runs = [run for one in deployment.workers.values() for run in one.list_runs()]
         resumed = [run["headers"].get("Last-Event-Id") for run in runs]
         assert "2" in resumed
 
     test()
 
 
-@in_world
-async def test_stream_cut_after_its_last_event_is_completed(world: World) -> None:
-    world.add_worker("w1", DESK)
-    model = world.add_worker("m1", MODELS)
+@with_deployment
+async def test_stream_cut_after_its_last_event_is_completed(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    model = deployment.add_worker("m1", MODEL_SERVICE)
     model.faults.add({"kind": "cut_end", "count": 1})
-    await world.add_entry("e1")
-    assert await world.submit("e1", make_job(1), "j1") == 202
-    (result,) = await world.read_all("e1", "j1", 1)
+    await deployment.add_entry("e1")
+    assert await deployment.submit("e1", make_job(1), "j1") == 202
+    (result,) = await deployment.read_all("e1", "j1", 1)
     assert result["text"] == make_text("i0")
     assert len(model.list_runs()) == 2
 
 
-@in_world
-async def test_slow_engine_is_left_in_mid_stream(world: World) -> None:
-    world.add_worker("w1", DESK)
-    slow = world.add_worker("m1", MODELS, events=30, event_seconds=0.01)
-    fast = world.add_worker("m2", MODELS, events=30, event_seconds=0.01)
-    await world.add_entry("e1")
-    assert await world.submit("e1", make_job(14), "j0") == 202
-    await world.read_all("e1", "j0", 14)
+@with_deployment
+async def test_slow_engine_is_left_in_mid_stream(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    slow = deployment.add_worker("m1", MODEL_SERVICE, events=30, event_seconds=0.01)
+    fast = deployment.add_worker("m2", MODEL_SERVICE, events=30, event_seconds=0.01)
+    await deployment.add_entry("e1")
+    assert await deployment.submit("e1", make_job(14), "j0") == 202
+    await deployment.read_all("e1", "j0", 14)
     assert slow.list_runs()
     slow.state.event_seconds = 0.3
-    assert await world.submit("e1", make_job(14, prefix="k"), "j1") == 202
-    for result in await world.read_all("e1", "j1", 14):
+    assert await deployment.submit("e1", make_job(14, prefix="k"), "j1") == 202
+    for result in await deployment.read_all("e1", "j1", 14):
         assert result["text"] == make_text(result["id"], 30)
     runs = slow.list_runs() + fast.list_runs()
     assert [run for run in runs if "Last-Event-Id" in run["headers"]]
 
 
-@in_world
-async def test_successor_goes_on_from_stored_events(world: World) -> None:
-    world.add_worker("w1", DESK)
-    model = world.add_worker("m1", MODELS, events=40, event_seconds=0.05)
-    await world.add_entry("e1")
-    await world.add_entry("e2")
-    assert await world.submit("e1", make_job(1), "j1") == 202
-    owner, other = await world.find_owner("j1")
-    second = world.entries[other]
-    await world.wait_for(lambda: second.jobs.table.find("j1"))
+@with_deployment
+async def test_successor_goes_on_from_stored_events(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    model = deployment.add_worker("m1", MODEL_SERVICE, events=40, event_seconds=0.05)
+    await deployment.add_entry("e1")
+    await deployment.add_entry("e2")
+    assert await deployment.submit("e1", make_job(1), "j1") == 202
+    owner, other = await deployment.find_owner("j1")
+    second = deployment.entries[other]
+    await deployment.wait_for(lambda: second.jobs.table.find("j1"))
     job = second.jobs.table.find("j1")
-    await world.wait_for(lambda: job.get_progress("i0"))
-    await world.kill(owner)
-    (result,) = await world.read_all(other, "j1", 1)
+    await deployment.wait_for(lambda: job.get_progress("i0"))
+    await deployment.kill(owner)
+    (result,) = await deployment.read_all(other, "j1", 1)
     assert result["text"] == make_text("i0", 40)
     last = model.list_runs()[-1]["headers"]
     assert int(last["Last-Event-Id"]) >= 8
-    await world.wait_for(lambda: not job.get_progress("i0"))
-
-
-@in_world
-async def test_planned_stop_hands_jobs_over(world: World) -> None:
-    world.add_worker("w1", DESK)
-    model = world.add_worker("m1", MODELS, events=60, event_seconds=0.05)
-    await world.add_entry("e1")
-    await world.add_entry("e2")
-    assert await world.submit("e1", make_job(1), "j1") == 202
-    owner, other = await world.find_owner("j1")
-    await world.wait_for(model.list_runs)
+    await deployment.wait_for(lambda: not job.get_progress("i0"))
+
+
+@with_deployment
+async def test_planned_stop_hands_jobs_over(deployment: InProcessDeployment) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    model = deployment.add_worker("m1", MODEL_SERVICE, events=60, event_seconds=0.05)
+    await deployment.add_entry("e1")
+    await deployment.add_entry("e2")
+    assert await deployment.submit("e1", make_job(1), "j1") == 202
+    owner, other = await deployment.find_owner("j1")
+    await deployment.wait_for(model.list_runs)
     await asyncio.sleep(0.3)
-    stopping = asyncio.create_task(world.entries[owner]._drain())
-    await world.wait_for(world.entries[other].owner.count_running, timeout=1.5)
-    (result,) = await world.read_all(other, "j1", 1)
+    stopping = asyncio.create_task(deployment.entries[owner]._drain())
+    await deployment.wait_for(
+        deployment.entries[other].owner.count_running, timeout=1.5
+    )
+    (result,) = await deployment.read_all(other, "j1", 1)
     assert result["text"] == make_text("i0", 60)
     await stopping
 
 
-@in_world
-async def test_process_that_leaves_gives_new_jobs_to_others(world: World) -> None:
-    world.add_worker("w1", DESK)
-    world.add_worker("m1", MODELS, event_seconds=0.1)
-    first = await world.add_entry("e1")
-    second = await world.add_entry("e2")
-    await world.wait_for(lambda: len(first.presence.list_live()) == 2)
+@with_deployment
+async def test_process_that_leaves_gives_new_jobs_to_others(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    deployment.add_worker("m1", MODEL_SERVICE, event_seconds=0.1)
+    first = await deployment.add_entry("e1")
+    second = await deployment.add_entry("e2")
+    await deployment.wait_for(lambda: len(first.presence.list_live()) == 2)
     stopping = asyncio.create_task(first._drain())
-    await world.wait_for(lambda: first.owner.is_leaving)
-    assert await world.submit("e1", make_job(2), "j1") == 202
-    await world.wait_for(lambda: second.jobs.table.find("j1"))
+    await deployment.wait_for(lambda: first.owner.is_leaving)
+    assert await deployment.submit("e1", make_job(2), "j1") == 202
+    await deployment.wait_for(lambda: second.jobs.table.find("j1"))
     job = second.jobs.table.find("j1")
     assert (job.claim.owner, job.claim.epoch) == (second.name, 1)
-    await world.read_all("e2", "j1", 2)
+    await deployment.read_all("e2", "j1", 2)
     await stopping
 
 
-@in_world
-async def test_owner_that_is_not_known_yet_is_given_time(world: World) -> None:
-    world.add_worker("w1", DESK)
-    world.add_worker("m1", MODELS)
-    entry = await world.add_entry("e1")
+@with_deployment
+async def test_owner_that_is_not_known_yet_is_given_time(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    deployment.add_worker("m1", MODEL_SERVICE)
+    entry = await deployment.add_entry("e1")
     specification = decode_job(
         "j1",
         json.dumps(make_job(2)).encode(),
         account="mill",
         route=entry.view.find_route(HOST, "/steps/x"),
-        submitted_at=entry.read_wall(),
+        submitted_at=entry.get_wall_time(),
     )
     await entry.jobs.accept(specification, "e9#1")
     await asyncio.sleep(0.4)
     assert entry.jobs.table.find("j1").claim.owner == "e9#1"
-    await world.read_all("e1", "j1", 2)
-
-
-@in_world
-async def test_groups_that_come_again_use_what_was_made(world: World) -> None:
-    world.add_worker("w1", DESK)
-    model = world.add_worker("m1", MODELS, events=40, event_seconds=0.05)
-    entry = await world.add_entry("e1")
-    assert await world.submit("e1", make_job(1), "j1") == 202
-    await world.wait_for(lambda: entry.jobs.table.find("j1"))
+    await deployment.read_all("e1", "j1", 2)
+
+
+@with_deployment
+async def test_groups_that_come_again_use_what_was_made(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    model = deployment.add_worker("m1", MODEL_SERVICE, events=40, event_seconds=0.05)
+    entry = await deployment.add_entry("e1")
+    assert await deployment.submit("e1", make_job(1), "j1") == 202
+    await deployment.wait_for(lambda: entry.jobs.table.find("j1"))
     job = entry.jobs.table.find("j1")
-    await world.wait_for(lambda: job.get_progress("i0"))
-    assert (await world.send("e1", "DELETE", "/-/lots/j1")).status == 200
-    assert await world.submit("e1", make_job(1, minimum=1), "j2") == 202
-    (result,) = await world.read_all("e1", "j2", 1)
+    await deployment.wait_for(lambda: job.get_progress("i0"))
+    assert (await deployment.send("e1", "DELETE", "/-/lots/j1")).status == 200
+    assert await deployment.submit("e1", make_job(1, minimum=1), "j2") == 202
+    (result,) = await deployment.read_all("e1", "j2", 1)
     assert result["text"] == make_text("i0", 40)
     assert int(model.list_runs()[-1]["headers"]["Last-Event-Id"]) >= 8
 
 
-@in_world
-async def test_item_that_always_fails_is_given_up_in_bounds(world: World) -> None:
-    world.add_worker("w1", DESK)
-    model = world.add_worker("m1", MODELS)
+@with_deployment
+async def test_item_that_always_fails_is_given_up_in_bounds(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    model = deployment.add_worker("m1", MODEL_SERVICE)
     model.faults.add({"kind": "error"})
-    await world.add_entry("e1")
-    assert await world.submit("e1", make_job(1), "j1") == 202
-    (result,) = await world.read_all("e1", "j1", 1)
+    await deployment.add_entry("e1")
+    assert await deployment.submit("e1", make_job(1), "j1") == 202
+    (result,) = await deployment.read_all("e1", "j1", 1)
     assert result["state"] == "abandoned"
     assert len(model.list_runs()) == 3
 
 
-@in_world
-async def test_impossible_item_is_given_up_at_once(world: World) -> None:
-    world.add_worker("w1", DESK)
-    model = world.add_worker("m1", MODELS)
+@with_deployment
+async def test_impossible_item_is_given_up_at_once(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    model = deployment.add_worker("m1", MODEL_SERVICE)
     model.faults.add({"kind": "impossible"})
-    await world.add_entry("e1")
-    assert await world.submit("e1", make_job(1), "j1") == 202
-    (result,) = await world.read_all("e1", "j1", 1)
+    await deployment.add_entry("e1")
+    assert await deployment.submit("e1", make_job(1), "j1") == 202
+    (result,) = await deployment.read_all("e1", "j1", 1)
     assert result["state"] == "abandoned"
     assert len(model.list_runs()) == 1
 
 
-@in_world
-async def test_result_of_an_earlier_job_is_used_again(world: World) -> None:
-    world.add_worker("w1", DESK)
-    model = world.add_worker("m1", MODELS)
-    await world.add_entry("e1")
-    assert await world.submit("e1", make_job(2), "j1") == 202
-    first = await world.read_all("e1", "j1", 2)
-    assert await world.submit("e1", make_job(2, minimum=1), "j2") == 202
-    second = await world.read_all("e1", "j2", 2)
+@with_deployment
+async def test_result_of_an_earlier_job_is_used_again(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    model = deployment.add_worker("m1", MODEL_SERVICE)
+    await deployment.add_entry("e1")
+    assert await deployment.submit("e1", make_job(2), "j1") == 202
+    first = await deployment.read_all("e1", "j1", 2)
+    assert await deployment.submit("e1", make_job(2, minimum=1), "j2") == 202
+    second = await deployment.read_all("e1", "j2", 2)
     assert sorted(one["text"] for one in first) == sorted(one["text"] for one in second)
     assert len(model.list_runs()) == 2
 
 
-@in_world
-async def test_job_too_large_for_the_store_is_refused(world: World) -> None:
-    entry = await world.add_entry("e1")
+@with_deployment
+async def test_job_too_large_for_the_store_is_refused(
+    deployment: InProcessDeployment,
+) -> None:
+    entry = await deployment.add_entry("e1")
     entry.jobs.max_append_bytes = 17 << 10
     job = make_job(40)
     for number, item in enumerate(job["items"]):
         item["body"] = os.urandom(100).hex() + f"{number:04}"
-    assert await world.submit("e1", job, "j1") == 413
-    assert (await world.read_results("e1", "j1"))[0] == 404
+    assert await deployment.submit("e1", job, "j1") == 413
+    assert (await deployment.read_results("e1", "j1"))[0] == 404
--- a/buckthornstile/entry/tests/test_stop.py
+++ b/buckthornstile/entry/tests/test_stop.py
@@ -9,31 +9,37 @@
 
 from buckthornstile.base import BuckthornstileError
 from buckthornstile.entry import _daemon
-from buckthornstile.entry.tests.world import DESK, HOST, KEY, World, in_world
-from buckthornstile.exchanges import ConnectionPool, OutgoingRequest
+from buckthornstile.entry.tests.in_process import (
+    API_KEY,
+    HOST,
+    PLAIN_SERVICE,
+    InProcessDeployment,
+    with_deployment,
+)
+from buckthornstile.http_client import ConnectionPool, HTTPRequest
 
 
-def make_request(name: str) -> OutgoingRequest:
+def make_request(name: str) -> HTTPRequest:
     headers = [
         ("Host", HOST),
-        ("Credential", KEY),
+        ("Credential", API_KEY),
         ("Request-Id", name),
         ("Deadline-Ms", "2000"),
     ]
-    return OutgoingRequest("POST", "/orders/7", headers, b"hello")
+    return HTTPRequest("POST", "/orders/7", headers, b"hello")
 
 
-@in_world
+@with_deployment
 async def test_request_that_crosses_the_end_is_answered_or_never_run(
-    world: World,
+    deployment: InProcessDeployment,
 ) -> None:
     """It comes on a kept connection while the last counts are stored."""
-    worker = world.add_worker("w1", DESK, work_seconds=0.2)
-    entry = await world.add_entry("e1")
+    worker = deployment.add_worker("w1", PLAIN_SERVICE, work_seconds=0.2)
+    entry = await deployment.add_entry("e1")
     address = entry.settings.client_address
     pool, outcomes = ConnectionPool(), []
     await pool.exchange(address, make_request("r0"))
-    announce = entry.announcer.announce
+    announce = entry.presence_publisher.announce
     sending: list[asyncio.Task[None]] = []
     calls = 0
 
@@ -54,7 +60,7 @@
 
     with (
         patch.object(_daemon, "DRAIN_TIME", 0.3),
-        patch.object(entry.announcer, "announce", announce_slowly),
+        patch.object(entry.presence_publisher, "announce", announce_slowly),
     ):
         stopping = asyncio.create_task(entry._drain())
         await stopping
@@ -65,20 +71,22 @@
     pool.close()
 
 
-@in_world
-async def test_connection_that_crosses_the_end_is_closed_unread(world: World) -> None:
+@with_deployment
+async def test_connection_that_crosses_the_end_is_closed_unread(
+    deployment: InProcessDeployment,
+) -> None:
     """It is accepted before the idle ones are closed, and waits after that."""
-    worker = world.add_worker("w1", DESK)
-    entry = await world.add_entry("e1")
-    door, pool = entry.client_door, ConnectionPool()
-    handle_stream = door._server.handle_stream
+    worker = deployment.add_worker("w1", PLAIN_SERVICE)
+    entry = await deployment.add_entry("e1")
+    listener, pool = entry.client_listener, ConnectionPool()
+    handle_stream = listener._server.handle_stream
 
     def handle_late(stream: IOStream, address: Any) -> None:
         handle_stream(stream, address)
-        door.close_idle()
+        listener.close_idle()
 
     with (
-        patch.object(door._server, "handle_stream", handle_late),
+        patch.object(listener._server, "handle_stream", handle_late),
         pytest.raises(BuckthornstileError),
     ):
         await pool.exchange(entry.settings.client_address, make_request("r1"))
@@ -86,13 +94,15 @@
     pool.close()
 
 
-@in_world
-async def test_open_request_is_answered_before_the_end(world: World) -> None:
-    world.add_worker("w1", DESK, work_seconds=1.0)
-    entry = await world.add_entry("e1")
-    calling = asyncio.create_task(world.call("e1", "r1"))
-    await world.wait_for(lambda: entry.client_door.open)
+@with_deployment
+async def test_open_request_is_answered_before_the_end(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE, work_seconds=1.0)
+    entry = await deployment.add_entry("e1")
+    calling = asyncio.create_task(deployment.call("e1", "r1"))
+    await deployment.wait_for(lambda: entry.client_listener.open)
     with patch.object(_daemon, "DRAIN_TIME", 0.1):
         await entry._drain()
     assert (await calling).status == 200
-    assert not entry.client_door.open
+    assert not entry.client_listener.open
--- a/buckthornstile/entry/tests/test_weights.py
+++ b/buckthornstile/entry/tests/test_weights.py
@@ -5,31 +5,35 @@
 
 import pytest
 
-from buckthornstile.entry.tests.world import (
-    DESK,
-    MODEL,
-    MODELS,
-    World,
-    in_world,
+from buckthornstile.entry.tests.in_process import (
+    MODEL_NAME,
+    MODEL_SERVICE,
+    PLAIN_SERVICE,
+    InProcessDeployment,
     make_job,
+    with_deployment,
 )
 
 
-@in_world
-async def test_named_version_is_loaded_and_labelled(world: World) -> None:
-    world.add_worker("w1", DESK)
-    models = [world.add_worker(name, MODELS) for name in ("m1", "m2")]
-    await world.add_entry("e1")
-    world.name_version(2)
-    world.name_version(3)
-    await world.wait_for(lambda: all(one.state.versions[MODEL] == 3 for one in models))
+@with_deployment
+async def test_named_version_is_loaded_and_labelled(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    models = [deployment.add_worker(name, MODEL_SERVICE) for name in ("m1", "m2")]
+    await deployment.add_entry("e1")
+    deployment.name_version(2)
+    deployment.name_version(3)
+    await deployment.wait_for(
+        lambda: all(one.state.versions[MODEL_NAME] == 3 for one in models)
+    )
     for model in models:
         model.write_entry()
         for order in model.list_orders():
             assert order["holder"] == "e1"
             assert order["precondition"] == 0
-    assert await world.submit("e1", make_job(3, minimum=3), "j1") == 202
-    for result in await world.read_all("e1", "j1", 3):
+    assert await deployment.submit("e1", make_job(3, minimum=3), "j1") == 202
+    for result in await deployment.read_all("e1", "j1", 3):
         assert result["versions"] == [3]
 
 
@@ -41,31 +45,33 @@
     ],
 )
 def test_unanswered_order_is_carried_out_once(fault: dict[str, Any]) -> None:
-    @in_world
-    async def test(world: World) -> None:
-        world.add_worker("w1", DESK)
-        model = world.add_worker("m1", MODELS)
+    @with_deployment
+    async def test(deployment: InProcessDeployment) -> None:
+        deployment.add_worker("w1", PLAIN_SERVICE)
+        model = deployment.add_worker("m1", MODEL_SERVICE)
         model.faults.add(dict(fault))
-        await world.add_entry("e1")
-        world.name_version(2)
-        world.name_version(3)
-        await world.wait_for(lambda: model.state.versions[MODEL] == 3)
+        await deployment.add_entry("e1")
+        deployment.name_version(2)
+        deployment.name_version(3)
+        await deployment.wait_for(lambda: model.state.versions[MODEL_NAME] == 3)
         await asyncio.sleep(1.8)
         assert len(model.list_orders()) == 1
 
     test()
 
 
-@in_world
-async def test_no_event_of_older_weights_is_taken(world: World) -> None:
-    world.add_worker("w1", DESK)
-    old = world.add_worker("m1", MODELS)
-    old.write_entry(models=[{"name": MODEL, "version": 5, "adapters": []}])
-    await world.add_entry("e1")
-    assert await world.submit("e1", make_job(1, minimum=5), "j1") == 202
-    await world.wait_for(old.list_runs)
+@with_deployment
+async def test_no_event_of_older_weights_is_taken(
+    deployment: InProcessDeployment,
+) -> None:
+    deployment.add_worker("w1", PLAIN_SERVICE)
+    old = deployment.add_worker("m1", MODEL_SERVICE)
+    old.write_entry(models=[{"name": MODEL_NAME, "version": 5, "adapters": []}])
+    await deployment.add_entry("e1")
+    assert await deployment.submit("e1", make_job(1, minimum=5), "j1") == 202
+    await deployment.wait_for(old.list_runs)
     await asyncio.sleep(0.3)
-    assert (await world.read_results("e1", "j1"))[1]["results"] == []
-    old.state.versions[MODEL] = 5
-    (result,) = await world.read_all("e1", "j1", 1)
+    assert (await deployment.read_results("e1", "j1"))[1]["results"] == []
+    old.state.versions[MODEL_NAME] = 5
+    (result,) = await deployment.read_all("e1", "j1", 1)
     assert result["versions"] == [5]
--- a/buckthornstile/gateway/__init__.py
+++ b/buckthornstile/gateway/__init__.py
@@ -1,62 +1,62 @@
 """The core of an entry: calls, streams, batch jobs, duties and what they rest on."""
 
-from buckthornstile.gateway._calls import CallSender
-from buckthornstile.gateway._control import Control
-from buckthornstile.gateway._fleet import Fleet
-from buckthornstile.gateway._followers import Followers
+from buckthornstile.gateway._call_sender import CallSender
 from buckthornstile.gateway._handlers import (
-    KEY_BOUND_SHARE,
+    KEY_BOUND_FRACTION,
     ClientHandlers,
-    HandlerTools,
-    make_error_reply,
+    HandlerDependencies,
+    make_error_response,
 )
-from buckthornstile.gateway._item_work import JobTools
-from buckthornstile.gateway._job_owner import JobOwner
+from buckthornstile.gateway._item_execution import JobDependencies
+from buckthornstile.gateway._item_runner import ItemRunner
+from buckthornstile.gateway._job_manager import JobManager
 from buckthornstile.gateway._job_store import JobStore
-from buckthornstile.gateway._lease_keeper import LeaseKeeper
-from buckthornstile.gateway._load_orders import LoadOrders
+from buckthornstile.gateway._lease_holder_tasks import LeaseHolderTasks
+from buckthornstile.gateway._lease_manager import LeaseManager
+from buckthornstile.gateway._load_balancer import LoadBalancer
 from buckthornstile.gateway._metrics import GatewayMetrics
-from buckthornstile.gateway._peers import PeerClient
+from buckthornstile.gateway._model_load_dispatcher import ModelLoadDispatcher
+from buckthornstile.gateway._partition_assignment import PartitionAssignment
+from buckthornstile.gateway._peer_client import PeerClient
 from buckthornstile.gateway._presence import (
-    PRESENCE_PERIOD,
+    PRESENCE_INTERVAL,
     PRESENCE_TOPIC,
+    LoadedVersions,
     PresenceRecord,
     PresenceTable,
-    Versions,
     decode_presence,
 )
-from buckthornstile.gateway._relay import StreamRelay
-from buckthornstile.gateway._store_path import StorePath, StoreRelay
-from buckthornstile.gateway._streams import StreamRunner
-from buckthornstile.gateway._usage_reports import UsageReports
-from buckthornstile.gateway._watch import Watch
+from buckthornstile.gateway._store_proxy import StoreProxy, StoreProxySelector
+from buckthornstile.gateway._stream_proxy import StreamProxy
+from buckthornstile.gateway._topology_watcher import TopologyWatcher
+from buckthornstile.gateway._usage_reporter import UsageReporter
 
 __all__ = [
-    "KEY_BOUND_SHARE",
-    "PRESENCE_PERIOD",
+    "KEY_BOUND_FRACTION",
+    "PRESENCE_INTERVAL",
     "PRESENCE_TOPIC",
     "CallSender",
     "ClientHandlers",
-    "Control",
-    "Fleet",
-    "Followers",
+    "LeaseHolderTasks",
+    "LoadBalancer",
+    "PartitionAssignment",
     "GatewayMetrics",
-    "HandlerTools",
-    "JobOwner",
+    "HandlerDependencies",
+    "JobManager",
     "JobStore",
-    "JobTools",
-    "LeaseKeeper",
-    "LoadOrders",
+    "JobDependencies",
+    "LeaseManager",
+    "ModelLoadDispatcher",
     "PeerClient",
     "PresenceRecord",
     "PresenceTable",
-    "StreamRelay",
-    "StreamRunner",
-    "StorePath",
-    "StoreRelay",
-    "UsageReports",
-    "Versions",
-    "Watch",
+    "StreamProxy",
+    "ItemRunner",
+    "StoreProxySelector",
+    "StoreProxy",
+    "UsageReporter",
+    "LoadedVersions",
+    "TopologyWatcher",
     "decode_presence",
-    "make_error_reply",
+    "make_error_response",
 ]
--- a/buckthornstile/gateway/_calls.py
+++ b/buckthornstile/gateway/_call_sender.py
@@ -14,11 +14,11 @@
     UpstreamId,
     Verdict,
 )
-from buckthornstile.calls import PlannedCall, UpstreamCall, UpstreamHead
-from buckthornstile.exchanges import ConnectionPool
-from buckthornstile.gateway._fleet import Fleet
+from buckthornstile.gateway._load_balancer import LoadBalancer
+from buckthornstile.http_client import ConnectionPool
 from buckthornstile.logs import log_event
-from buckthornstile.platform import decode_head, encode_call
+from buckthornstile.messages import ResponseHead, RoutedCall, UpstreamCall
+from buckthornstile.platform import decode_response_head, encode_upstream_call
 from buckthornstile.topology import Route, RouteKind, Upstream
 
 HEDGE_SHARE = 0.45
@@ -27,18 +27,18 @@
 """Upstreams that may refuse a request before it is given up."""
 REFUSAL_PAUSE = 0.05
 """Seconds for which an upstream that had no place is avoided."""
-RETRY_HINT = 0.1
+RETRY_AFTER_SECONDS = 0.1
 """Seconds after which a request that was not run may come again."""
 FULL_ANSWER_STATUS = 500
 
-CountRun = Callable[[AccountId, float], None]
+OnExecuted = Callable[[AccountId, float], None]
 
 
 @dataclass(slots=True)
-class CallAnswer:
+class UpstreamResponse:
     """A whole answer of an upstream."""
 
-    head: UpstreamHead
+    head: ResponseHead
     body: bytes
     upstream: UpstreamId
 
@@ -46,7 +46,7 @@
 @dataclass(slots=True)
 class _Attempt:
     upstream: Upstream
-    task: "asyncio.Task[CallAnswer]"
+    task: "asyncio.Task[UpstreamResponse]"
     started_at: float
 
 
@@ -54,27 +54,27 @@
     """Sends requests with retries and, where they may run twice, hedges.
 
     Args:
-        fleet: Chooses upstreams.
+        balancer: Chooses upstreams.
         pool: Connections to them.
         random_source: For the choice of a service by its share.
-        count_run: Called when an upstream has run an account's request, with the
+        on_executed: Called when an upstream has run an account's request, with the
             seconds since it began.
     """
 
     def __init__(
         self,
-        fleet: Fleet,
+        balancer: LoadBalancer,
         pool: ConnectionPool,
         *,
         random_source: random.Random,
-        count_run: CountRun,
+        on_executed: OnExecuted,
     ) -> None:
-        self.fleet = fleet
+        self.balancer = balancer
         self.pool = pool
         self.random_source = random_source
-        self.count_run = count_run
+        self.on_executed = on_executed
 
-    async def send(self, call: PlannedCall) -> CallAnswer:
+    async def send(self, call: RoutedCall) -> UpstreamResponse:
         """Sends a request and gives the answer that goes to the client.
 
         Raises:
@@ -103,21 +103,21 @@
 class _Sending:
     """The attempts of one request."""
 
-    def __init__(self, sender: CallSender, call: PlannedCall) -> None:
+    def __init__(self, sender: CallSender, call: RoutedCall) -> None:
         self.sender = sender
         self.call = call
-        self.repeats = call.route.kind is RouteKind.REPEATABLE
+        self.repeats = call.route.kind is RouteKind.IDEMPOTENT
         self.tried: list[UpstreamId] = []
-        self.running: dict[asyncio.Task[CallAnswer], _Attempt] = {}
+        self.running: dict[asyncio.Task[UpstreamResponse], _Attempt] = {}
         self.runs = 0
         self.refusals = 0
         self.may_have_run = False
-        self.failure: CallAnswer | None = None
+        self.failure: UpstreamResponse | None = None
         self.error: BuckthornstileError | None = None
         self.hedges = self.repeats
         self.service = sender.choose_service(call.route)
 
-    async def run(self) -> CallAnswer:
+    async def run(self) -> UpstreamResponse:
         loop = asyncio.get_running_loop()
         try:
             self._start()
@@ -146,12 +146,14 @@
             await self._cancel_rest()
 
     def _start(self) -> bool:
-        fleet = self.sender.fleet
-        upstream = fleet.choose(self.service, avoided=self.tried)
+        balancer = self.sender.balancer
+        upstream = balancer.choose(self.service, avoided=self.tried)
         if upstream is None:
             return False
         is_hedge = bool(self.running)
-        if is_hedge and (upstream.id in self.tried or not fleet.has_place(upstream)):
+        if is_hedge and (
+            upstream.id in self.tried or not balancer.has_capacity(upstream)
+        ):
             return False
         self.tried.append(upstream.id)
         self.runs += 1
@@ -160,12 +162,12 @@
         self.running[task] = _Attempt(upstream, task, now)
         return True
 
-    async def _attempt(self, upstream: Upstream) -> CallAnswer:
-        call, fleet = self.call, self.sender.fleet
+    async def _attempt(self, upstream: Upstream) -> UpstreamResponse:
+        call, balancer = self.call, self.sender.balancer
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         request = call.request
-        outgoing = encode_call(
+        outgoing = encode_upstream_call(
             UpstreamCall(
                 id=request.id,
                 method=request.method,
@@ -174,12 +176,12 @@
                 headers=request.headers,
                 body=request.body,
                 upstream=upstream.id,
-                time_left=call.deadline - started_at,
+                remaining_time=call.deadline - started_at,
                 account=call.account,
-                resume_after=request.resume_after,
+                last_event_id=request.last_event_id,
             )
         )
-        place = fleet.take_place(upstream)
+        place = balancer.acquire_permit(upstream)
         try:
             # On a kept connection an unanswered request may have been run.
             answer = await self.sender.pool.exchange(
@@ -190,17 +192,19 @@
             )
         finally:
             place.release()
-        head = decode_head(answer)
-        fleet.note_load(upstream, head.load)
+        head = decode_response_head(answer)
+        balancer.record_load(upstream, head.load)
         if not head.is_refusal:
-            fleet.note_pace(upstream, loop.time() - started_at)
+            balancer.record_latency(upstream, loop.time() - started_at)
             if call.account is not None:
                 age = loop.time() - started_at
-                self.sender.count_run(call.account, age)
-        return CallAnswer(head, bytes(answer.body), upstream.id)
+                self.sender.on_executed(call.account, age)
+        return UpstreamResponse(head, bytes(answer.body), upstream.id)
 
-    def _take_answer(self, done: "set[asyncio.Task[CallAnswer]]") -> CallAnswer | None:
-        best: CallAnswer | None = None
+    def _take_answer(
+        self, done: "set[asyncio.Task[UpstreamResponse]]"
+    ) -> UpstreamResponse | None:
+        best: UpstreamResponse | None = None
         for task in done:
             attempt = self.running.pop(task)
             error = task.exception()
@@ -212,7 +216,7 @@
 
     def _note_error(self, attempt: _Attempt, error: BaseException) -> None:
         if not is_too_old(error):
-            self.sender.fleet.note_failure(attempt.upstream)
+            self.sender.balancer.record_failure(attempt.upstream)
         if not isinstance(error, BuckthornstileError):
             error = BuckthornstileError(
                 ErrorCode.INTERNAL,
@@ -234,24 +238,26 @@
             verdict=error.verdict.value,
         )
 
-    def _judge(self, attempt: _Attempt, answer: CallAnswer) -> CallAnswer | None:
-        fleet, head = self.sender.fleet, answer.head
+    def _judge(
+        self, attempt: _Attempt, answer: UpstreamResponse
+    ) -> UpstreamResponse | None:
+        balancer, head = self.sender.balancer, answer.head
         if head.is_refusal:
             self.runs -= 1
             self.refusals += 1
             if head.other_upstream is not None:
-                fleet.note_failure(attempt.upstream)
+                balancer.record_failure(attempt.upstream)
             else:
-                fleet.note_refusal(attempt.upstream, REFUSAL_PAUSE)
+                balancer.record_refusal(attempt.upstream, REFUSAL_PAUSE)
             return None
         self.may_have_run = True
-        if head.is_encoded or (head.status < 300 and not head.signature):
-            fleet.note_failure(attempt.upstream)
+        if head.has_content_encoding or (head.status < 300 and not head.signature):
+            balancer.record_failure(attempt.upstream)
             return None
         if head.status >= FULL_ANSWER_STATUS and self.repeats:
             self.failure = answer
             return None if self._may_retry() or self.running else answer
-        fleet.note_success(attempt.upstream)
+        balancer.record_success(attempt.upstream)
         return answer
 
     def _may_retry(self) -> bool:
@@ -275,7 +281,9 @@
     def _note_slow(self) -> None:
         now = asyncio.get_running_loop().time()
         for attempt in self.running.values():
-            self.sender.fleet.note_pace(attempt.upstream, now - attempt.started_at)
+            self.sender.balancer.record_latency(
+                attempt.upstream, now - attempt.started_at
+            )
 
     def _make_error(self, now: float) -> BuckthornstileError:
         if now >= self.call.deadline:
@@ -290,7 +298,7 @@
             return BuckthornstileError(
                 ErrorCode.NO_UPSTREAM,
                 f"no upstream of service {self.service!r} took the request",
-                retry_after=RETRY_HINT,
+                retry_after=RETRY_AFTER_SECONDS,
             )
         if self.error is not None and self.error.verdict is not Verdict.NOT_RUN:
             return self.error
--- a/buckthornstile/gateway/_handlers.py
+++ b/buckthornstile/gateway/_handlers.py
@@ -15,21 +15,26 @@
     Verdict,
     get_http_status,
 )
-from buckthornstile.calls import ClientRequest, PlannedCall, Reply, StreamReply
-from buckthornstile.gateway._calls import CallSender
+from buckthornstile.gateway._call_sender import CallSender
 from buckthornstile.gateway._job_store import JobStore
 from buckthornstile.gateway._metrics import GatewayMetrics
-from buckthornstile.gateway._peers import PeerClient
-from buckthornstile.gateway._relay import StreamRelay
-from buckthornstile.gateway._watch import Watch
+from buckthornstile.gateway._peer_client import PeerClient
+from buckthornstile.gateway._stream_proxy import StreamProxy
+from buckthornstile.gateway._topology_watcher import TopologyWatcher
 from buckthornstile.jobs import Job, JobId, JobSpecification
 from buckthornstile.logs import log_event
-from buckthornstile.platform import Subject, decode_job, find_subject, render_results
+from buckthornstile.messages import (
+    ClientRequest,
+    Response,
+    RoutedCall,
+    StreamingResponse,
+)
+from buckthornstile.platform import ResourceKind, decode_job, encode_results, parse_path
 from buckthornstile.topology import Account, Route, RouteKind, TopologyView
 
-KEY_BOUND_SHARE = 0.9
+KEY_BOUND_FRACTION = 0.9
 """Share of the bound on withdrawn keys for which keys are trusted unseen."""
-RETRY_HINT = 0.1
+RETRY_AFTER_SECONDS = 0.1
 """Seconds after which a request that was not run may come again."""
 CATCH_UP_TIME = 0.6
 """Seconds in which a process makes sure that it knows no such job."""
@@ -43,13 +48,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandlerTools:
+class HandlerDependencies:
     """What the handlers use."""
 
     view: TopologyView
-    watch: Watch
+    watch: TopologyWatcher
     sender: CallSender
-    relay: StreamRelay
+    relay: StreamProxy
     jobs: JobStore
     clock: Callable[[], float]
     wall_clock: Callable[[], float]
@@ -63,26 +68,28 @@
 class ClientHandlers:
     """Answers the requests that come through the clients' door."""
 
-    def __init__(self, tools: HandlerTools) -> None:
-        self.tools = tools
+    def __init__(self, dependencies: HandlerDependencies) -> None:
+        self.dependencies = dependencies
 
-    async def handle(self, request: ClientRequest) -> Reply | StreamReply:
+    async def handle(self, request: ClientRequest) -> Response | StreamingResponse:
         """Answers one request; failures become an honest status."""
         return await self._answer(request, self._dispatch(request))
 
-    async def handle_forwarded(self, request: ClientRequest) -> Reply | StreamReply:
+    async def handle_forwarded(
+        self, request: ClientRequest
+    ) -> Response | StreamingResponse:
         """Answers a request about a job that another entry passed on."""
         return await self._answer(request, self._serve_job(request))
 
     async def _answer(
         self,
         request: ClientRequest,
-        work: Coroutine[Any, Any, Reply | StreamReply],
-    ) -> Reply | StreamReply:
+        work: Coroutine[Any, Any, Response | StreamingResponse],
+    ) -> Response | StreamingResponse:
         try:
             return await work
         except BuckthornstileError as error:
-            reply = make_error_reply(error)
+            reply = make_error_response(error)
             log_event(
                 "request.refused",
                 request=request.id,
@@ -91,14 +98,16 @@
                 reason=error.message,
                 verdict=error.verdict.value,
                 status=reply.status,
-                configuration=getattr(self.tools.view.configuration, "version", None),
-                store_age=self.tools.watch.operator.get_age(),
+                configuration=getattr(
+                    self.dependencies.view.configuration, "version", None
+                ),
+                store_age=self.dependencies.watch.operator.get_staleness(),
             )
             return reply
 
-    async def _dispatch(self, request: ClientRequest) -> Reply | StreamReply:
-        subject, _ = find_subject(request.path)
-        if subject in (Subject.JOB, Subject.ITEM):
+    async def _dispatch(self, request: ClientRequest) -> Response | StreamingResponse:
+        subject, _ = parse_path(request.path)
+        if subject in (ResourceKind.JOB, ResourceKind.ITEM):
             return await self._serve_or_forward(request)
         route = self._find_route(request)
         account = self._authenticate(request, route.is_open)
@@ -109,13 +118,13 @@
     # Filters
 
     def _find_route(self, request: ClientRequest) -> Route:
-        if self.tools.view.configuration is None:
+        if self.dependencies.view.configuration is None:
             raise BuckthornstileError(
                 ErrorCode.CONFIGURATION_MISSING,
                 "no configuration is known yet",
-                retry_after=RETRY_HINT,
+                retry_after=RETRY_AFTER_SECONDS,
             )
-        route = self.tools.view.find_route(request.host, request.path)
+        route = self.dependencies.view.find_route(request.host, request.path)
         if route is None or not route.services:
             raise BuckthornstileError(
                 ErrorCode.ROUTE_UNKNOWN, f"no route for host {request.host!r}"
@@ -125,22 +134,25 @@
     def _authenticate(
         self, request: ClientRequest, is_open: bool = False
     ) -> Account | None:
-        view = self.tools.view
+        view = self.dependencies.view
         configuration = view.configuration
         if configuration is None:
             raise BuckthornstileError(
                 ErrorCode.CONFIGURATION_MISSING,
                 "no configuration is known yet",
-                retry_after=RETRY_HINT,
+                retry_after=RETRY_AFTER_SECONDS,
             )
         if is_open or not configuration.accounts:
             return None
-        age = self.tools.watch.operator.get_age()
-        if self.tools.fails_closed and age > KEY_BOUND_SHARE * self.tools.key_bound:
+        age = self.dependencies.watch.operator.get_staleness()
+        if (
+            self.dependencies.fails_closed
+            and age > KEY_BOUND_FRACTION * self.dependencies.key_bound
+        ):
             raise BuckthornstileError(
                 ErrorCode.CONFIGURATION_OLD,
                 f"the configuration is {age:.1f} s old, too old to trust a key",
-                retry_after=RETRY_HINT,
+                retry_after=RETRY_AFTER_SECONDS,
             )
         if not request.key:
             raise BuckthornstileError(ErrorCode.KEY_MISSING, "the request has no key")
@@ -153,25 +165,27 @@
 
     async def _call(
         self, request: ClientRequest, route: Route, account: Account | None
-    ) -> Reply | StreamReply:
+    ) -> Response | StreamingResponse:
         if not request.id:
             raise BuckthornstileError(ErrorCode.HEADER_INVALID, "the request has no id")
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        left = DEFAULT_TIME if request.time_left is None else request.time_left
+        left = (
+            DEFAULT_TIME if request.remaining_time is None else request.remaining_time
+        )
         time = min(left - ANSWER_MARGIN, route.timeout)
         if time <= 0:
             raise BuckthornstileError(ErrorCode.DEADLINE_PASSED, "no time is left")
-        planned = PlannedCall(
+        planned = RoutedCall(
             request,
             route,
             account.name if account else None,
             started_at + time,
         )
         if route.is_streaming:
-            return await self.tools.relay.open(planned)
-        answer = await self.tools.sender.send(planned)
-        self.tools.metrics.record_call(
+            return await self.dependencies.relay.open(planned)
+        answer = await self.dependencies.sender.send(planned)
+        self.dependencies.metrics.record_call(
             account.name if account else OPEN_ACCOUNT, loop.time() - started_at
         )
         log_event(
@@ -182,26 +196,26 @@
             status=answer.head.status,
             seconds=loop.time() - started_at,
         )
-        return Reply(answer.head.status, answer.body, answer.head.headers)
+        return Response(answer.head.status, answer.body, answer.head.headers)
 
     # Batch jobs
 
     async def _submit(
         self, request: ClientRequest, route: Route, account: Account | None
-    ) -> Reply:
+    ) -> Response:
         owner = _get_name(account)
-        known = self.tools.jobs.table.find(JobId(request.id))
+        known = self.dependencies.jobs.table.find(JobId(request.id))
         if known is not None and known.specification.account == owner:
-            return Reply(202)
+            return Response(202)
         specification = decode_job(
             request.id,
             request.body,
             account=owner,
             route=route,
-            submitted_at=self.tools.wall_clock(),
+            submitted_at=self.dependencies.wall_clock(),
         )
-        first_owner = self.tools.choose_first_owner(specification)
-        await self.tools.jobs.accept(specification, first_owner)
+        first_owner = self.dependencies.choose_first_owner(specification)
+        await self.dependencies.jobs.accept(specification, first_owner)
         log_event(
             "job.accepted",
             job=specification.id,
@@ -212,35 +226,35 @@
             minimum_version=specification.minimum_version,
             wanted_groups=specification.wanted_groups,
         )
-        return Reply(202)
+        return Response(202)
 
-    async def _serve_or_forward(self, request: ClientRequest) -> Reply:
+    async def _serve_or_forward(self, request: ClientRequest) -> Response:
         """Answers a request about a job, here or where its partition is followed."""
-        jobs = self.tools.jobs
-        part = jobs.find_part(_get_name(self._authenticate(request)))
-        if jobs.is_followed(part):
+        jobs = self.dependencies.jobs
+        part = jobs.find_partition(_get_name(self._authenticate(request)))
+        if jobs.is_consumed(part):
             return await self._serve_job(request)
         try:
-            return await self.tools.peers.forward(request, part)
+            return await self.dependencies.peers.forward(request, part)
         except BuckthornstileError:
             # Followed from now on, it is known here when the client comes again.
             jobs.follow(part)
             raise
 
-    async def _serve_job(self, request: ClientRequest) -> Reply:
+    async def _serve_job(self, request: ClientRequest) -> Response:
         account = self._authenticate(request)
-        if not self.tools.jobs.is_followed(
-            self.tools.jobs.find_part(_get_name(account))
+        if not self.dependencies.jobs.is_consumed(
+            self.dependencies.jobs.find_partition(_get_name(account))
         ):
             raise BuckthornstileError(
                 ErrorCode.PLATFORM_UNAVAILABLE,
                 "the job's partition is not followed here",
-                retry_after=RETRY_HINT,
+                retry_after=RETRY_AFTER_SECONDS,
             )
-        subject, name = find_subject(request.path)
-        if subject is Subject.ITEM:
+        subject, name = parse_path(request.path)
+        if subject is ResourceKind.ITEM:
             return await self._read_item(request, JobId(name), account)
-        if subject is Subject.JOB:
+        if subject is ResourceKind.JOB:
             return await self._handle_job(request, JobId(name), account)
         raise BuckthornstileError(
             ErrorCode.ROUTE_UNKNOWN, f"no job's path {request.path[:60]!r}"
@@ -248,7 +262,7 @@
 
     async def _handle_job(
         self, request: ClientRequest, job_id: JobId, account: Account | None
-    ) -> Reply:
+    ) -> Response:
         if request.method == "DELETE":
             return await self._end_job(job_id, account)
         if request.method != "GET":
@@ -262,39 +276,39 @@
         total = len(job.items)
         if start >= len(job.results) and len(job.results) < total:
             self._check_fresh(job)
-        body = render_results(job.results, total, start)
-        return Reply(200, body, (("Content-Type", "application/json"),))
+        body = encode_results(job.results, total, start)
+        return Response(200, body, (("Content-Type", "application/json"),))
 
     async def _read_item(
         self, request: ClientRequest, job_id: JobId, account: Account | None
-    ) -> Reply:
+    ) -> Response:
         job = await self._find_job(job_id, account)
         names = parse_qs(request.query).get("id", [""])
-        for item in job.find_open_items():
+        for item in job.iterate_pending_items():
             if item.id == names[0] and not job.ended:
-                return Reply(200, item.body)
+                return Response(200, item.body)
         raise BuckthornstileError(
             ErrorCode.LOT_UNKNOWN, f"job {job_id!r} has no open item {names[0]!r}"
         )
 
-    async def _end_job(self, job_id: JobId, account: Account | None) -> Reply:
+    async def _end_job(self, job_id: JobId, account: Account | None) -> Response:
         job = await self._find_job(job_id, account)
         if not job.ended:
-            await self.tools.jobs.end(job)
+            await self.dependencies.jobs.end(job)
             log_event("job.ended", job=job_id, listed=len(job.results))
-        return Reply(200)
+        return Response(200)
 
     async def _find_job(self, job_id: JobId, account: Account | None) -> Job:
-        table = self.tools.jobs.table
+        table = self.dependencies.jobs.table
         job = table.find(job_id)
         if job is None:
-            part = self.tools.jobs.find_part(_get_name(account))
-            tail = self.tools.jobs.tails[part]
-            if not await tail.wait_until_fresh(CATCH_UP_TIME):
+            part = self.dependencies.jobs.find_partition(_get_name(account))
+            consumer = self.dependencies.jobs.consumers[part]
+            if not await consumer.wait_until_synced(CATCH_UP_TIME):
                 raise BuckthornstileError(
                     ErrorCode.PLATFORM_UNAVAILABLE,
                     f"it is not known whether job {job_id!r} exists",
-                    retry_after=RETRY_HINT,
+                    retry_after=RETRY_AFTER_SECONDS,
                 )
             job = table.find(job_id)
         owner = _get_name(account)
@@ -317,22 +331,22 @@
                 if not changed.done():
                     changed.set_result(None)
 
-            job.waiters.append(wake)
+            job.change_callbacks.append(wake)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(left):
                     await changed
 
     def _check_fresh(self, job: Job) -> None:
-        age = self.tools.jobs.tails[job.part].get_age()
+        age = self.dependencies.jobs.consumers[job.part].get_staleness()
         if age > STALE_TIME:
             raise BuckthornstileError(
                 ErrorCode.PLATFORM_UNAVAILABLE,
                 f"the results of job {job.id!r} are {age:.1f} s old",
-                retry_after=RETRY_HINT,
+                retry_after=RETRY_AFTER_SECONDS,
             )
 
 
-def make_error_reply(error: BuckthornstileError) -> Reply:
+def make_error_response(error: BuckthornstileError) -> Response:
     """Makes the answer to a request that failed.
 
     Statuses that promise that nothing ran are given only with that verdict.
@@ -343,7 +357,7 @@
         if error.verdict is not Verdict.NOT_RUN and status in (429, 503):
             status = 502
     body = error.code.value.encode()
-    return Reply(status, body, (("Content-Type", "text/plain"),), error.retry_after)
+    return Response(status, body, (("Content-Type", "text/plain"),), error.retry_after)
 
 
 def _get_name(account: Account | None) -> AccountId:
--- a/buckthornstile/gateway/_item_work.py
+++ b/buckthornstile/gateway/_item_execution.py
@@ -5,15 +5,15 @@
 from dataclasses import dataclass, field
 
 from buckthornstile.base import BuckthornstileError, UpstreamId
-from buckthornstile.calls import ClientRequest, PlannedCall
-from buckthornstile.gateway._calls import CallSender
-from buckthornstile.gateway._fleet import Fleet, Place
+from buckthornstile.gateway._call_sender import CallSender
+from buckthornstile.gateway._item_runner import ItemRunner, Progress, RunOutcome
 from buckthornstile.gateway._job_store import JobStore
+from buckthornstile.gateway._load_balancer import LoadBalancer, Permit
 from buckthornstile.gateway._metrics import GatewayMetrics
-from buckthornstile.gateway._streams import Progress, RunEnd, StreamRunner
 from buckthornstile.jobs import ItemResult, Job, JobItem, ResultState, ScoreCall
 from buckthornstile.logs import log_event
-from buckthornstile.topology import OWN_HOST, Route, TopologyView, Upstream
+from buckthornstile.messages import ClientRequest, RoutedCall
+from buckthornstile.topology import API_HOST, Route, TopologyView, Upstream
 
 FAILURE_PAUSE = 0.05
 """Seconds before an item that failed is run again."""
@@ -31,12 +31,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobTools:
+class JobDependencies:
     """What the runners of all jobs share."""
 
     view: TopologyView
-    fleet: Fleet
-    streams: StreamRunner
+    balancer: LoadBalancer
+    streams: ItemRunner
     sender: CallSender
     store: JobStore
     metrics: GatewayMetrics
@@ -48,13 +48,13 @@
     """One job and the route that it came by, which may go meanwhile."""
 
     job: Job
-    tools: JobTools
+    dependencies: JobDependencies
     last_route: Route | None = None
 
     def find_route(self) -> Route | None:
         """Finds the job's route in the configuration in force."""
         specification = self.job.specification
-        route = self.tools.view.find_route(
+        route = self.dependencies.view.find_route(
             specification.host, specification.path_prefix
         )
         if route is not None:
@@ -70,12 +70,12 @@
             retention = self.last_route.retention
         if not retention:
             return False
-        age = self.tools.clock() - self.job.started_at
+        age = self.dependencies.clock() - self.job.started_at
         return age > retention + GIVE_UP_MARGIN
 
 
 @dataclass(slots=True)
-class ItemWork:
+class ItemExecution:
     """An item and how far its runs have come.
 
     Args:
@@ -98,7 +98,7 @@
     began_at: float = 0.0
 
     async def run(
-        self, upstream: Upstream, route: Route, place: Place
+        self, upstream: Upstream, route: Route, place: Permit
     ) -> ItemResult | None:
         """Runs the item at an upstream; scores it when its text is whole.
 
@@ -110,12 +110,12 @@
         Returns:
             The result, or None if the item is to be run again.
         """
-        tools = self.context.tools
+        dependencies = self.context.dependencies
         if not self.began_at:
-            self.began_at = tools.clock()
+            self.began_at = dependencies.clock()
         events_before = len(self.progress.events)
         specification = self.context.job.specification
-        end = await tools.streams.run(
+        end = await dependencies.streams.run(
             self.item,
             upstream,
             self.progress,
@@ -127,16 +127,16 @@
             version=self._get_only_version(route, upstream),
         )
         place.release()
-        if end is not RunEnd.REFUSED:
+        if end is not RunOutcome.REFUSED:
             self.runs.append(f"{upstream.id}:{end.value}")
-        if end is RunEnd.COMPLETE:
-            if specification.host == OWN_HOST:
-                age = tools.clock() - self.began_at
-                tools.sender.count_run(specification.account, age)
+        if end is RunOutcome.COMPLETE:
+            if specification.host == API_HOST:
+                age = dependencies.clock() - self.began_at
+                dependencies.sender.on_executed(specification.account, age)
             return await self._score()
-        if end is RunEnd.IMPOSSIBLE:
+        if end is RunOutcome.IMPOSSIBLE:
             return self._give_up("impossible")
-        if end is RunEnd.FAILED:
+        if end is RunOutcome.FAILED:
             self.failures += 1
             if self.failures >= max(1, route.max_attempts):
                 return self._give_up("failed")
@@ -144,9 +144,9 @@
         return None
 
     async def _note_unfinished(
-        self, upstream: Upstream, end: RunEnd, events_before: int
+        self, upstream: Upstream, end: RunOutcome, events_before: int
     ) -> None:
-        if end is RunEnd.REFUSED:
+        if end is RunOutcome.REFUSED:
             pause = REFUSAL_PAUSE * 2**self.refusals
             self.refusals += 1
             await asyncio.sleep(min(LONGEST_REFUSAL_PAUSE, pause))
@@ -162,7 +162,7 @@
             events=len(self.progress.events),
             status=self.progress.last_status,
         )
-        if end in (RunEnd.BROKEN, RunEnd.SILENT, RunEnd.SLOW):
+        if end in (RunOutcome.BROKEN, RunOutcome.SILENT, RunOutcome.SLOW):
             self.avoided = [*self.avoided[1 - MAX_AVOIDED :], upstream.id]
         else:
             await asyncio.sleep(FAILURE_PAUSE)
@@ -172,24 +172,24 @@
         specification = self.context.job.specification
         if specification.model is None:
             return True
-        view = self.context.tools.view
+        view = self.context.dependencies.view
         version = view.get_version(upstream, specification.model)
         if not version or version < specification.minimum_version:
             return False
-        if route.needs_single_version and self.progress.events:
+        if route.requires_single_version and self.progress.events:
             return version == self.progress.events[0].version
         return True
 
     def load_progress(self, route: Route | None) -> None:
         """Takes over what was stored of the item's text, if its versions fit."""
         specification = self.context.job.specification
-        events = self.context.tools.store.table.find_progress(
+        events = self.context.dependencies.store.table.find_progress(
             specification.account, self.item
         )
         versions = {event.version for event in events}
         if not events or min(versions) < specification.minimum_version:
             return
-        if route is not None and route.needs_single_version and len(versions) > 1:
+        if route is not None and route.requires_single_version and len(versions) > 1:
             return
         self.progress.events = list(events)
         self.saved = len(self.context.job.get_progress(self.item.id))
@@ -199,14 +199,17 @@
 
     def find_earlier_result(self, route: Route | None) -> ItemResult | None:
         """Finds a result of an earlier job that fits this one."""
-        tools, specification = self.context.tools, self.context.job.specification
+        dependencies, specification = (
+            self.context.dependencies,
+            self.context.job.specification,
+        )
         account = specification.account
-        result = tools.store.table.find_result(account, self.item)
+        result = dependencies.store.table.find_result(account, self.item)
         if result is None or route is None:
             return None
         if min(result.versions, default=-1) < specification.minimum_version:
             return None
-        if route.needs_single_version and len(result.versions) != 1:
+        if route.requires_single_version and len(result.versions) != 1:
             return None
         log_event("item.reused", job=specification.id, item=self.item.id)
         return result
@@ -227,18 +230,18 @@
         return ItemResult(self.item.id, ResultState.ABANDONED)
 
     def _get_only_version(self, route: Route, upstream: Upstream) -> int | None:
-        if not route.needs_single_version:
+        if not route.requires_single_version:
             return None
         if self.progress.events:
             return self.progress.events[0].version
         model = self.context.job.specification.model
-        view = self.context.tools.view
+        view = self.context.dependencies.view
         return view.get_version(upstream, model) if model else None
 
     # Scores
 
     async def _score(self) -> ItemResult:
-        text_at = self.context.tools.clock()
+        text_at = self.context.dependencies.clock()
         score = ""
         call = self.item.score_call
         if call is not None:
@@ -246,10 +249,10 @@
             if scored is None:
                 return self._give_up("score")
             score = scored
-        now = self.context.tools.clock()
+        now = self.context.dependencies.clock()
         started_at = self.context.job.started_at
         account = self.context.job.specification.account
-        metrics = self.context.tools.metrics
+        metrics = self.context.dependencies.metrics
         metrics.record_item(account, now - started_at)
         metrics.record_place(account, self.began_at - started_at)
         log_event(
@@ -274,7 +277,7 @@
 
     async def _find_score(self, call: ScoreCall) -> str | None:
         """Gives the item's score, or None if it is given up."""
-        view = self.context.tools.view
+        view = self.context.dependencies.view
         failures = 0
         while not self.context.is_over():
             route = view.find_route(call.host, call.path)
@@ -304,9 +307,9 @@
             body=call.body,
         )
         deadline = asyncio.get_running_loop().time() + SCORE_TIME
-        planned = PlannedCall(request, route, None, deadline)
+        planned = RoutedCall(request, route, None, deadline)
         try:
-            answer = await self.context.tools.sender.send(planned)
+            answer = await self.context.dependencies.sender.send(planned)
         except BuckthornstileError as error:
             log_event(
                 "item.score_retry",
--- a/buckthornstile/gateway/_streams.py
+++ b/buckthornstile/gateway/_item_runner.py
@@ -7,11 +7,15 @@
 from itertools import groupby
 
 from buckthornstile.base import AccountId, BuckthornstileError
-from buckthornstile.calls import StreamEvent, UpstreamCall, UpstreamHead
-from buckthornstile.exchanges import Answer, ConnectionPool
-from buckthornstile.gateway._fleet import Fleet
-from buckthornstile.jobs import JobItem, VersionRun
-from buckthornstile.platform import EventReader, decode_head, encode_call
+from buckthornstile.gateway._load_balancer import LoadBalancer
+from buckthornstile.http_client import ConnectionPool, HTTPResponse
+from buckthornstile.jobs import JobItem, VersionSpan
+from buckthornstile.messages import ResponseHead, StreamEvent, UpstreamCall
+from buckthornstile.platform import (
+    UpstreamEventParser,
+    decode_response_head,
+    encode_upstream_call,
+)
 from buckthornstile.topology import ModelName, Upstream
 
 FIRST_EVENT_TIMEOUT = 1.2
@@ -29,7 +33,7 @@
 """Seconds for which an upstream that had no place is avoided."""
 
 
-class RunEnd(Enum):
+class RunOutcome(Enum):
     """How a run at an upstream ended."""
 
     COMPLETE = "complete"
@@ -54,10 +58,10 @@
         """The id of the last whole event."""
         return self.events[-1].id if self.events else None
 
-    def list_version_runs(self) -> tuple[VersionRun, ...]:
+    def list_version_runs(self) -> tuple[VersionSpan, ...]:
         """The versions that made the events, in order."""
         return tuple(
-            VersionRun(version, len(list(events)))
+            VersionSpan(version, len(list(events)))
             for version, events in groupby(self.events, lambda event: event.version)
         )
 
@@ -66,16 +70,16 @@
         return "\n".join(event.data for event in self.events)
 
 
-class StreamRunner:
+class ItemRunner:
     """Runs items at upstreams.
 
     Args:
-        fleet: What was seen of upstreams.
+        balancer: What was seen of upstreams.
         pool: Connections to them.
     """
 
-    def __init__(self, fleet: Fleet, pool: ConnectionPool) -> None:
-        self.fleet = fleet
+    def __init__(self, balancer: LoadBalancer, pool: ConnectionPool) -> None:
+        self.balancer = balancer
         self.pool = pool
 
     async def run(
@@ -90,7 +94,7 @@
         minimum_version: int,
         model: ModelName | None,
         version: int | None,
-    ) -> RunEnd:
+    ) -> RunOutcome:
         """Runs an item from where its progress stands.
 
         Args:
@@ -112,10 +116,10 @@
             headers=item.headers,
             body=item.body,
             upstream=upstream.id,
-            time_left=RUN_TIME,
+            remaining_time=RUN_TIME,
             account=account,
             urgency=urgency,
-            resume_after=progress.get_last_id(),
+            last_event_id=progress.get_last_id(),
             version=version,
         )
         run = _Run(self, upstream, progress, minimum_version, model)
@@ -125,7 +129,7 @@
 class _Run:
     def __init__(
         self,
-        runner: StreamRunner,
+        runner: ItemRunner,
         upstream: Upstream,
         progress: Progress,
         minimum_version: int,
@@ -136,8 +140,8 @@
         self.upstream = upstream
         self.progress = progress
         self.minimum_version = minimum_version
-        self.head: UpstreamHead | None = None
-        self.reader: EventReader | None = None
+        self.head: ResponseHead | None = None
+        self.reader: UpstreamEventParser | None = None
         self.loop = asyncio.get_running_loop()
         self.active_at = self.loop.time()
         self.events = 0
@@ -146,14 +150,14 @@
         self.is_slow = False
         self.event_times: deque[float] = deque(maxlen=JUDGED_EVENTS + 1)
         self.status = 0
-        self.task: asyncio.Task[Answer] | None = None
+        self.task: asyncio.Task[HTTPResponse] | None = None
 
-    async def execute(self, call: UpstreamCall) -> RunEnd:
+    async def execute(self, call: UpstreamCall) -> RunOutcome:
         self.task = asyncio.create_task(
             self.runner.pool.exchange(
                 self.upstream.address,
-                encode_call(call),
-                on_head=self._take_head,
+                encode_upstream_call(call),
+                on_headers=self._take_head,
                 on_data=self._take_data,
             )
         )
@@ -180,29 +184,29 @@
             if done:
                 return False
 
-    def _take_head(self, answer: Answer) -> None:
-        self.head = decode_head(answer)
-        self.runner.fleet.note_load(self.upstream, self.head.load)
+    def _take_head(self, answer: HTTPResponse) -> None:
+        self.head = decode_response_head(answer)
+        self.runner.balancer.record_load(self.upstream, self.head.load)
         if self.head.status != 200 or self.head.is_refusal:
             return
-        if self.head.is_encoded:
+        if self.head.has_content_encoding:
             self._break()
             return
         if self.head.version is None:
             # Only an answer without events needs no version.
-            self.reader = EventReader(NO_VERSION)
+            self.reader = UpstreamEventParser(NO_VERSION)
             return
         if self.model is not None:
-            self.runner.fleet.view.note_versions(
+            self.runner.balancer.view.record_versions(
                 self.upstream.id,
-                self.upstream.born,
+                self.upstream.started_at_ms,
                 {self.model: self.head.version},
             )
         if self.head.version < self.minimum_version:
             self.too_old = True
             self._cancel()
             return
-        self.reader = EventReader(self.head.version)
+        self.reader = UpstreamEventParser(self.head.version)
 
     def _take_data(self, chunk: bytes) -> None:
         if self.reader is None or self.broken:
@@ -223,8 +227,8 @@
             return
         now = self.loop.time()
         if self.events:
-            self.runner.fleet.note_pace(self.upstream, now - self.active_at)
-        self.runner.fleet.note_activity(self.upstream)
+            self.runner.balancer.record_latency(self.upstream, now - self.active_at)
+        self.runner.balancer.record_activity(self.upstream)
         self.active_at = now
         self.event_times.append(now)
         self.events += 1
@@ -237,7 +241,7 @@
         if len(times) <= JUDGED_EVENTS or self.progress.moves >= MAX_MOVES:
             return
         pace = (now - times[0]) / JUDGED_EVENTS
-        if self.runner.fleet.is_slow(self.upstream, pace):
+        if self.runner.balancer.is_slow(self.upstream, pace):
             self.progress.moves += 1
             self.is_slow = True
             self._cancel()
@@ -250,45 +254,45 @@
         assert self.task is not None
         self.task.cancel()
 
-    def _judge(self, is_silent: bool) -> RunEnd:
-        fleet, task = self.runner.fleet, self.task
+    def _judge(self, is_silent: bool) -> RunOutcome:
+        balancer, task = self.runner.balancer, self.task
         assert task is not None
         if self.too_old:
-            return RunEnd.TOO_OLD
+            return RunOutcome.TOO_OLD
         if self.is_slow and not task.done():
-            return RunEnd.SLOW
+            return RunOutcome.SLOW
         if self.is_slow and task.cancelled():
-            return RunEnd.SLOW
+            return RunOutcome.SLOW
         if is_silent:
             # One that serves others lets this request wait in its queue.
-            if not fleet.is_active(self.upstream):
-                fleet.note_failure(self.upstream)
-            return RunEnd.SILENT
+            if not balancer.is_active(self.upstream):
+                balancer.record_failure(self.upstream)
+            return RunOutcome.SILENT
         error = None if task.cancelled() else task.exception()
         if task.cancelled() or error is not None or self.broken:
-            fleet.note_failure(self.upstream)
+            balancer.record_failure(self.upstream)
             if error is not None and not isinstance(error, BuckthornstileError):
                 raise error
-            return RunEnd.BROKEN
+            return RunOutcome.BROKEN
         return self._judge_whole()
 
-    def _judge_whole(self) -> RunEnd:
-        fleet, head = self.runner.fleet, self.head
+    def _judge_whole(self) -> RunOutcome:
+        balancer, head = self.runner.balancer, self.head
         assert head is not None
         if head.is_refusal:
             if head.other_upstream not in (None, self.upstream.id):
-                fleet.note_failure(self.upstream)
+                balancer.record_failure(self.upstream)
             else:
-                fleet.note_refusal(self.upstream, REFUSAL_PAUSE)
-            return RunEnd.REFUSED
+                balancer.record_refusal(self.upstream, REFUSAL_PAUSE)
+            return RunOutcome.REFUSED
         if head.status == 422:
-            return RunEnd.IMPOSSIBLE
+            return RunOutcome.IMPOSSIBLE
         if head.status == 500:
-            return RunEnd.FAILED
+            return RunOutcome.FAILED
         self.progress.last_status = head.status
         whole = self.reader is not None and self.reader.is_between_events()
         if head.status != 200 or not whole or not self.progress.events:
-            fleet.note_failure(self.upstream)
-            return RunEnd.BROKEN
-        fleet.note_success(self.upstream)
-        return RunEnd.COMPLETE
+            balancer.record_failure(self.upstream)
+            return RunOutcome.BROKEN
+        balancer.record_success(self.upstream)
+        return RunOutcome.COMPLETE
--- a/buckthornstile/gateway/_job_owner.py
+++ b/buckthornstile/gateway/_job_manager.py
@@ -8,13 +8,13 @@
     KeyId,
     ProcessName,
 )
-from buckthornstile.gateway._followers import Followers
-from buckthornstile.gateway._item_work import JobTools
+from buckthornstile.gateway._item_execution import JobDependencies
 from buckthornstile.gateway._job_runner import JobRunner
+from buckthornstile.gateway._partition_assignment import PartitionAssignment
 from buckthornstile.gateway._presence import PresenceTable
 from buckthornstile.jobs import Job, JobId, JobSpecification
 from buckthornstile.logs import log_event
-from buckthornstile.routing import compute_score
+from buckthornstile.routing import compute_rendezvous_score
 
 CHECK_PERIOD = 0.15
 """Seconds between two looks for jobs without a living owner."""
@@ -27,14 +27,14 @@
 """Seconds to store the progress of all jobs before others are asked to take over."""
 
 
-class JobOwner:
+class JobManager:
     """Starts and stops the runners of this process's jobs.
 
     Args:
         name: This process's name.
-        tools: What all runners share.
+        dependencies: What all runners share.
         presence: Which processes live.
-        followers: Which of them follow which partitions.
+        assignment: Which of them follow which partitions.
         clock: The time in seconds; it must go on while suspended.
         lifetime: Seconds for which a job's results stay readable.
         is_withdrawn: Tells whether work under a key must stop.
@@ -43,18 +43,18 @@
     def __init__(
         self,
         name: ProcessName,
-        tools: JobTools,
+        dependencies: JobDependencies,
         presence: PresenceTable,
         *,
-        followers: Followers,
+        assignment: PartitionAssignment,
         clock: Callable[[], float],
         lifetime: float,
         is_withdrawn: Callable[[KeyId], bool],
     ) -> None:
-        self.followers = followers
+        self.assignment = assignment
         self.is_withdrawn = is_withdrawn
         self.name = name
-        self.tools = tools
+        self.dependencies = dependencies
         self.presence = presence
         self.clock = clock
         self.lifetime = lifetime
@@ -63,29 +63,31 @@
         self._claimed_at: dict[JobId, float] = {}
         self._dropped_at = 0.0
 
-    def note_change(self, job: Job) -> None:
+    def on_job_changed(self, job: Job) -> None:
         """Starts or stops a job's runner after a record changed the job."""
         runner = self._runners.get(job.id)
         is_mine = job.claim is not None and job.claim.owner == self.name
         if is_mine and not job.is_finished():
             assert job.claim is not None
             if runner is None and not self._has_lost_key(job):
-                self._runners[job.id] = JobRunner(job, self.tools, self._note_end)
+                self._runners[job.id] = JobRunner(
+                    job, self.dependencies, self._note_end
+                )
         elif runner is not None and (not is_mine or job.is_finished()):
             log_event("job.stop", job=job.id, ended=job.ended, owned=is_mine)
             self._runners.pop(job.id).stop()
 
     def choose_first_owner(self, specification: JobSpecification) -> ProcessName:
         """Chooses who runs a job that this process accepts."""
-        part = self.tools.store.find_part(specification.account)
-        followers = [
+        part = self.dependencies.store.find_partition(specification.account)
+        assignment = [
             name
-            for name in self.followers.list_followers(part)
+            for name in self.assignment.list_assigned(part)
             if name != self.name or not self.is_leaving
         ]
-        chosen = choose_owner(specification, followers)
+        chosen = choose_owner(specification, assignment)
         if chosen is None:
-            self.tools.store.follow(part)
+            self.dependencies.store.follow(part)
         return chosen or self.name
 
     def count_running(self) -> int:
@@ -99,10 +101,10 @@
             runner.stop()
         self._runners.clear()
 
-    async def save_all(self) -> None:
+    async def checkpoint_all(self) -> None:
         """Stores the progress of all jobs for those who take them over."""
         runners = list(self._runners.values())
-        saves = [runner.save_progress(1) for runner in runners]
+        saves = [runner.checkpoint(1) for runner in runners]
         try:
             async with asyncio.timeout(SAVE_TIME):
                 outcomes = await asyncio.gather(*saves, return_exceptions=True)
@@ -140,7 +142,7 @@
             log_event("job.key_lost", job=job.id, key=job.specification.key)
             self._runners.pop(job.id).stop()
             try:
-                await self.tools.store.end(job)
+                await self.dependencies.store.end(job)
             except BuckthornstileError as error:
                 log_event("job.end_failed", job=job.id, reason=error.message)
 
@@ -149,7 +151,7 @@
         if self.name not in live:
             return
         now = self.clock()
-        for job in list(self.tools.store.table.jobs.values()):
+        for job in list(self.dependencies.store.table.jobs.values()):
             if not self._is_orphan(job, live) or not self._is_chosen(job):
                 continue
             if now - self._claimed_at.get(job.id, -CLAIM_PERIOD) < CLAIM_PERIOD:
@@ -158,13 +160,13 @@
             previous = job.claim.owner if job.claim else ""
             log_event("job.claim", job=job.id, previous=previous)
             try:
-                await self.tools.store.claim(job)
+                await self.dependencies.store.claim(job)
             except BuckthornstileError as error:
                 log_event("job.claim_failed", job=job.id, reason=error.message)
 
     def _is_chosen(self, job: Job) -> bool:
         """Whether this process is the one that should run a job."""
-        candidates = self.followers.list_followers(job.part)
+        candidates = self.assignment.list_assigned(job.part)
         return choose_owner(job.specification, candidates) == self.name
 
     def _is_orphan(self, job: Job, live: list[ProcessName]) -> bool:
@@ -187,11 +189,11 @@
         if now - self._dropped_at < DROP_PERIOD:
             return
         self._dropped_at = now
-        for job in self.tools.store.table.list_expired(now, self.lifetime):
+        for job in self.dependencies.store.table.list_expired(now, self.lifetime):
             if not self._is_chosen(job):
                 continue
             try:
-                await self.tools.store.drop(job)
+                await self.dependencies.store.drop(job)
             except BuckthornstileError as error:
                 log_event("job.drop_failed", job=job.id, reason=error.message)
             else:
@@ -213,4 +215,8 @@
     series = "\0".join(
         (specification.account, specification.path_prefix, specification.model or "")
     )
-    return max(live, key=lambda name: (compute_score(series, name), name), default=None)
+    return max(
+        live,
+        key=lambda name: (compute_rendezvous_score(series, name), name),
+        default=None,
+    )
--- a/buckthornstile/gateway/_job_runner.py
+++ b/buckthornstile/gateway/_job_runner.py
@@ -5,8 +5,12 @@
 from collections.abc import Callable, Iterator, Sequence
 
 from buckthornstile.base import PlatformUnavailableError, UpstreamId
-from buckthornstile.gateway._fleet import Place
-from buckthornstile.gateway._item_work import ItemWork, JobContext, JobTools
+from buckthornstile.gateway._item_execution import (
+    ItemExecution,
+    JobContext,
+    JobDependencies,
+)
+from buckthornstile.gateway._load_balancer import Permit
 from buckthornstile.jobs import (
     ItemResult,
     Job,
@@ -16,7 +20,7 @@
     encode_result,
 )
 from buckthornstile.logs import log_event
-from buckthornstile.platform import AppendRefusedError, Producer
+from buckthornstile.platform import AppendConflictError, Producer
 from buckthornstile.topology import Route, Upstream
 
 PLACE_POLL = 0.025
@@ -43,25 +47,28 @@
 
     Args:
         job: The job, whose claim names this process.
-        tools: What all runners share.
+        dependencies: What all runners share.
         on_end: Called when the runner has ended by itself.
     """
 
     def __init__(
-        self, job: Job, tools: JobTools, on_end: Callable[["JobRunner"], None]
+        self,
+        job: Job,
+        dependencies: JobDependencies,
+        on_end: Callable[["JobRunner"], None],
     ) -> None:
         assert job.claim is not None
         self.job = job
-        self.tools = tools
+        self.dependencies = dependencies
         self.epoch = job.claim.epoch
-        self.context = JobContext(job, tools)
+        self.context = JobContext(job, dependencies)
         self.on_end = on_end
         self._sequence = 0
         groups = dict.fromkeys(item.group for item in job.items.values())
         self._places = {group: place for place, group in enumerate(groups)}
         self._homes: dict[str, UpstreamId] = {}
-        self._works: list[ItemWork] = []
-        self._waiting: list[ItemWork] = []
+        self._works: list[ItemExecution] = []
+        self._waiting: list[ItemExecution] = []
         self._writing = asyncio.Lock()
         self._changed = asyncio.Event()
         self._finished: asyncio.Queue[ItemResult] = asyncio.Queue()
@@ -76,7 +83,7 @@
             "job.run",
             job=self.job.id,
             epoch=self.epoch,
-            open=sum(1 for _ in self.job.find_open_items()),
+            open=sum(1 for _ in self.job.iterate_pending_items()),
             minimum_version=self.job.specification.minimum_version,
         )
         try:
@@ -90,7 +97,7 @@
                     await asyncio.sleep(END_POLL)
                 for writer in writers:
                     writer.cancel()
-        except* AppendRefusedError as errors:
+        except* AppendConflictError as errors:
             log_event("job.lost", job=self.job.id, reason=errors.exceptions[0])
         except* Exception as errors:
             log_event("job.failed", job=self.job.id, reason=repr(errors.exceptions[0]))
@@ -101,14 +108,16 @@
 
     async def _start_items(self, group: asyncio.TaskGroup) -> None:
         """Starts items as places become free, until all are finished."""
-        self._works = [self._make_work(item) for item in self.job.find_open_items()]
+        self._works = [
+            self._make_work(item) for item in self.job.iterate_pending_items()
+        ]
         self._works.sort(key=lambda work: work.rank)
         self._waiting = list(self._works)
         open_items = len(self._waiting)
         done = 0
 
         async def run(
-            work: ItemWork, upstream: Upstream, route: Route, place: Place
+            work: ItemExecution, upstream: Upstream, route: Route, place: Permit
         ) -> None:
             nonlocal done
             result = await work.run(upstream, route, place)
@@ -132,7 +141,7 @@
                 upstream = self._choose_upstream(work, route)
                 if upstream is not None and route is not None:
                     self._waiting.remove(work)
-                    place = self.tools.fleet.take_place(upstream)
+                    place = self.dependencies.balancer.acquire_permit(upstream)
                     task = group.create_task(run(work, upstream, route, place))
                     task.add_done_callback(place.release_after)
             await self._wait_for_change()
@@ -143,7 +152,7 @@
             async with asyncio.timeout(PLACE_POLL if self._waiting else END_POLL):
                 await self._changed.wait()
 
-    def _make_work(self, item: JobItem) -> ItemWork:
+    def _make_work(self, item: JobItem) -> ItemExecution:
         """Ranks an item: what is waited for first, then what takes longest."""
         place = self._places[item.group]
         wanted = self.job.specification.wanted_groups or len(self._places)
@@ -152,19 +161,21 @@
         priority = route.priority if route else 0
         urgency = min(MAX_URGENCY, priority + 1 + SPARE_URGENCY * is_spare)
         rank = (int(is_spare), -item.expected_tokens, place)
-        work = ItemWork(item, self.context, rank, urgency)
+        work = ItemExecution(item, self.context, rank, urgency)
         work.load_progress(route)
         return work
 
-    def _choose_upstream(self, work: ItemWork, route: Route | None) -> Upstream | None:
+    def _choose_upstream(
+        self, work: ItemExecution, route: Route | None
+    ) -> Upstream | None:
         if route is None or not route.services:
             return None
-        fleet = self.tools.fleet
+        balancer = self.dependencies.balancer
         group = work.item.group
-        upstream = fleet.choose(
-            self.tools.sender.choose_service(route),
+        upstream = balancer.choose(
+            self.dependencies.sender.choose_service(route),
             avoided=work.avoided,
-            allows=lambda one: work.allows(one, route) and fleet.has_place(one),
+            allows=lambda one: work.allows(one, route) and balancer.has_capacity(one),
             preferred=self._homes.get(group),
         )
         if upstream is not None and group and not work.avoided:
@@ -187,9 +198,9 @@
         """Stores what long items have made, for the owner's successor."""
         while True:
             await asyncio.sleep(SAVE_PERIOD)
-            await self.save_progress(SAVE_EVENTS)
+            await self.checkpoint(SAVE_EVENTS)
 
-    async def save_progress(self, least_events: int) -> None:
+    async def checkpoint(self, least_events: int) -> None:
         """Stores the new events of items that have made so many."""
         records = []
         for work in self._works:
@@ -211,7 +222,7 @@
             record
             for result in results
             for record in encode_result(
-                self.job.id, result, self.tools.store.max_record_bytes
+                self.job.id, result, self.dependencies.store.max_record_bytes
             )
         ]
         records += [
@@ -237,7 +248,7 @@
         producer = Producer(self.job.id, self.epoch, self._sequence)
         while True:
             try:
-                await self.tools.store.append_once(self.job, records, producer)
+                await self.dependencies.store.append_once(self.job, records, producer)
             except PlatformUnavailableError as error:
                 log_event("job.append_retry", job=self.job.id, reason=error.message)
                 await asyncio.sleep(WRITE_RETRY)
--- a/buckthornstile/gateway/_job_store.py
+++ b/buckthornstile/gateway/_job_store.py
@@ -15,6 +15,7 @@
     ProcessName,
     Verdict,
 )
+from buckthornstile.consumers import PartitionConsumer
 from buckthornstile.jobs import (
     Job,
     JobRecord,
@@ -28,14 +29,13 @@
 from buckthornstile.logs import log_event
 from buckthornstile.platform import (
     JOB_TOPIC,
-    AppendRefusedError,
+    AppendConflictError,
+    KeyedRecord,
     Producer,
     StoreClient,
-    StoredRecord,
     encode_keyed_record,
 )
-from buckthornstile.routing import compute_score
-from buckthornstile.tails import Tail
+from buckthornstile.routing import compute_rendezvous_score
 
 MAX_JOB_PARTS = 4
 """Partitions in use: each entry holds one read open for each."""
@@ -69,7 +69,7 @@
         clock: The time in seconds; it must go on while suspended.
         wall_clock: Seconds since the epoch.
         on_change: Called with a job after a record changed it.
-        follows: Tells whether this process is to follow a partition.
+        is_assigned: Tells whether this process is to follow a partition.
         may_load: Tells whether partitions may be loaded now.
     """
 
@@ -84,10 +84,10 @@
         clock: Callable[[], float],
         wall_clock: Callable[[], float],
         on_change: Callable[[Job], None],
-        follows: Callable[[int], bool],
+        is_assigned: Callable[[int], bool],
         may_load: Callable[[], bool],
     ) -> None:
-        self.follows = follows
+        self.is_assigned = is_assigned
         self.may_load = may_load
         self.store = store
         self.max_record_bytes = max_record_bytes
@@ -98,31 +98,33 @@
         self.table = JobTable(on_change)
         self._following: dict[int, asyncio.Task[None]] = {}
         self._wanted_at: dict[int, float] = {}
-        self.tails = [
+        self.consumers = [
             self._make_tail(part) for part in range(min(MAX_JOB_PARTS, parts))
         ]
 
     def is_loaded(self) -> bool:
         """Whether all partitions that are followed were read once."""
         return self.may_load() and all(
-            tail.is_loaded for tail in self.tails if self.follows(tail.part)
+            consumer.is_loaded
+            for consumer in self.consumers
+            if self.is_assigned(consumer.part)
         )
 
-    def find_part(self, account: AccountId) -> int:
+    def find_partition(self, account: AccountId) -> int:
         """Finds the partition that holds an account's jobs."""
-        return compute_score("jobs", account) % len(self.tails)
+        return compute_rendezvous_score("jobs", account) % len(self.consumers)
 
-    def is_followed(self, part: int) -> bool:
+    def is_consumed(self, part: int) -> bool:
         """Whether a partition is followed here and was read once."""
-        return part in self._following and self.tails[part].is_loaded
+        return part in self._following and self.consumers[part].is_loaded
 
     def follow(self, part: int) -> None:
         """Asks for a partition to be followed for a while."""
         self._wanted_at[part] = self.clock()
 
-    def get_age(self) -> float:
+    def get_staleness(self) -> float:
         """Seconds since the oldest of the followed partitions was read."""
-        ages = [self.tails[part].get_age() for part in self._following]
+        ages = [self.consumers[part].get_staleness() for part in self._following]
         return max(ages, default=0.0)
 
     async def run(self) -> None:
@@ -147,20 +149,20 @@
             and job.claim.owner == self.name
             and not job.is_finished()
         }
-        for tail in self.tails:
-            if self.follows(tail.part) or tail.part in owned:
-                self._wanted_at[tail.part] = now
-            is_wanted = now - self._wanted_at.get(tail.part, -LINGER) < LINGER
-            task = self._following.get(tail.part)
+        for consumer in self.consumers:
+            if self.is_assigned(consumer.part) or consumer.part in owned:
+                self._wanted_at[consumer.part] = now
+            is_wanted = now - self._wanted_at.get(consumer.part, -LINGER) < LINGER
+            task = self._following.get(consumer.part)
             if is_wanted and task is None:
-                log_event("jobs.follow", part=tail.part)
-                task = group.create_task(tail.run())
-                self._following[tail.part] = task
+                log_event("jobs.follow", part=consumer.part)
+                task = group.create_task(consumer.run())
+                self._following[consumer.part] = task
             elif not is_wanted and task is not None:
-                log_event("jobs.unfollow", part=tail.part)
-                self._following.pop(tail.part).cancel()
-                self.table.forget_part(tail.part)
-                self.tails[tail.part] = self._make_tail(tail.part)
+                log_event("jobs.unfollow", part=consumer.part)
+                self._following.pop(consumer.part).cancel()
+                self.table.drop_partition(consumer.part)
+                self.consumers[consumer.part] = self._make_tail(consumer.part)
 
     async def accept(self, specification: JobSpecification, owner: ProcessName) -> None:
         """Stores a job with its first owner.
@@ -182,9 +184,9 @@
             )
         producer = Producer(specification.id, FIRST_EPOCH, 0)
         try:
-            part = self.find_part(specification.account)
+            part = self.find_partition(specification.account)
             await self._append(part, records, producer, ACCEPT_TIME)
-        except AppendRefusedError as error:
+        except AppendConflictError as error:
             log_event("job.known", job=specification.id, reason=error.message)
 
     async def end(self, job: Job) -> None:
@@ -211,13 +213,13 @@
         """Makes one append.
 
         Raises:
-            AppendRefusedError: Another process owns the job.
+            AppendConflictError: Another process owns the job.
             PlatformUnavailableError: The outcome is not known, or it was refused.
         """
-        tail = self.tails[job.part]
+        consumer = self.consumers[job.part]
         encoded = [encode_keyed_record(one.key, one.value) for one in records]
         await self.store.append(
-            JOB_TOPIC, tail.part, encoded, producer=producer, timeout=APPEND_TIMEOUT
+            JOB_TOPIC, consumer.part, encoded, producer=producer, timeout=APPEND_TIMEOUT
         )
 
     async def drop(self, job: Job) -> None:
@@ -259,8 +261,8 @@
                     ) from error
             await asyncio.sleep(REFUSED_PAUSE)
 
-    def _make_tail(self, part: int) -> Tail:
-        def apply(record: StoredRecord) -> None:
+    def _make_tail(self, part: int) -> PartitionConsumer:
+        def apply(record: KeyedRecord) -> None:
             try:
                 self.table.apply(
                     part,
@@ -268,16 +270,16 @@
                     record.key,
                     record.value,
                     self.clock(),
-                    wall=self.wall_clock(),
+                    wall_time=self.wall_clock(),
                 )
             except (ValueError, KeyError, TypeError) as error:
                 log_event("job.record_unreadable", key=record.key, reason=error)
 
-        def apply_newest(records: list[StoredRecord]) -> None:
+        def apply_newest(records: list[KeyedRecord]) -> None:
             for record in sorted(records, key=lambda one: one.offset):
                 apply(record)
 
-        return Tail(
+        return PartitionConsumer(
             self.store,
             JOB_TOPIC,
             part,
@@ -285,6 +287,6 @@
             wait=JOB_WAIT,
             pause=JOB_PAUSE,
             on_record=apply,
-            on_newest=apply_newest,
-            in_order=True,
+            on_snapshot=apply_newest,
+            ordered=True,
         )
--- a/buckthornstile/gateway/_control.py
+++ b/buckthornstile/gateway/_lease_holder_tasks.py
@@ -4,36 +4,39 @@
 from collections.abc import Callable, Coroutine
 
 from buckthornstile.base import BuckthornstileError
-from buckthornstile.gateway._lease_keeper import LeaseKeeper
-from buckthornstile.gateway._load_orders import LoadOrders
-from buckthornstile.gateway._usage_reports import UsageReports
+from buckthornstile.gateway._lease_manager import LeaseManager
+from buckthornstile.gateway._model_load_dispatcher import ModelLoadDispatcher
+from buckthornstile.gateway._usage_reporter import UsageReporter
 from buckthornstile.logs import log_event
 
 TICK = 0.1
 """Seconds between two looks at what is due."""
 
 
-class Control:
+class LeaseHolderTasks:
     """Keeps the lease and, while it is held, performs the duties.
 
     Args:
-        keeper: Keeps the lease.
+        lease_manager: Keeps the lease.
         orders: Orders loads of weights.
         reports: Reports usage; None where the platform takes no reports.
     """
 
     def __init__(
-        self, keeper: LeaseKeeper, orders: LoadOrders, reports: UsageReports | None
+        self,
+        lease_manager: LeaseManager,
+        orders: ModelLoadDispatcher,
+        reports: UsageReporter | None,
     ) -> None:
-        self.keeper = keeper
+        self.lease_manager = lease_manager
         self.orders = orders
         self.reports = reports
 
     async def run(self) -> None:
         """Performs the duties until cancelled."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.keeper.tail.run())
-            group.create_task(_repeat(self.keeper.keep))
+            group.create_task(self.lease_manager.consumer.run())
+            group.create_task(_repeat(self.lease_manager.keep))
             group.create_task(_repeat(self.orders.order))
             if self.reports is not None:
                 group.create_task(_repeat(self.reports.report))
--- a/buckthornstile/gateway/_lease_keeper.py
+++ b/buckthornstile/gateway/_lease_manager.py
@@ -4,17 +4,17 @@
 from collections.abc import Callable
 
 from buckthornstile.base import ProcessName
+from buckthornstile.consumers import PartitionConsumer
 from buckthornstile.duties import (
     DUTY_TOPIC,
-    DutyFold,
     DutyRecord,
+    DutyState,
     Lease,
     decode_duty_record,
     encode_duty_record,
 )
 from buckthornstile.logs import log_event
-from buckthornstile.platform import AppendRefusedError, StoreClient
-from buckthornstile.tails import Tail
+from buckthornstile.platform import AppendConflictError, StoreClient
 
 DUTY_WAIT = 0.5
 """Seconds that a read of the duties' topic is held."""
@@ -23,7 +23,7 @@
 """Seconds of the lease that must be left to begin a call."""
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Follows the duties' topic, and claims and renews the lease.
 
     Args:
@@ -44,28 +44,28 @@
         self.name = name
         self.store = store
         self.clock = clock
-        self.fold = DutyFold(clock)
+        self.fold = DutyState(clock)
         self.lease = Lease(name, self.fold, clock=clock, turn_bound=turn_bound)
         self.is_leaving = False
-        self.tail = Tail(
+        self.consumer = PartitionConsumer(
             store,
             DUTY_TOPIC,
             0,
             clock=clock,
             wait=DUTY_WAIT,
-            on_raw=self._apply,
-            on_read=self._note_read,
+            on_raw_record=self._apply,
+            on_caught_up=self._note_read,
         )
         self._returned_at = -1e9
         self._writing = asyncio.Lock()
 
     def may_act(self) -> bool:
         """Whether enough of the lease is left to begin a call."""
-        return self.lease.holds() and self.lease.get_time_left() > MIN_TIME_LEFT
+        return self.lease.holds() and self.lease.get_remaining_time() > MIN_TIME_LEFT
 
     def bound(self, seconds: float) -> float:
         """Bounds a time-out by what is left of the lease."""
-        return min(seconds, self.lease.get_time_left())
+        return min(seconds, self.lease.get_remaining_time())
 
     async def keep(self) -> None:
         """Appends the claim or renewal that is due, if any.
@@ -73,16 +73,19 @@
         Raises:
             PlatformUnavailableError: The store did not take it, or gave no answer.
         """
-        if not self.tail.is_loaded or self.tail.get_age() > DUTY_WAIT + APPEND_TIMEOUT:
+        if (
+            not self.consumer.is_loaded
+            or self.consumer.get_staleness() > DUTY_WAIT + APPEND_TIMEOUT
+        ):
             return
-        record = None if self.is_leaving else self.lease.choose_record()
+        record = None if self.is_leaving else self.lease.get_due_record()
         if record is None:
             return
         sent_at = self.clock()
         offset = await self.append(record)
         if offset is None:
             return
-        self.lease.note_written(record, offset, sent_at)
+        self.lease.record_acknowledged(record, offset, sent_at)
         if record.term is None:
             log_event("lease.taken", term=self.fold.term)
 
@@ -101,7 +104,7 @@
                     at=self.fold.end,
                     timeout=APPEND_TIMEOUT,
                 )
-            except AppendRefusedError:
+            except AppendConflictError:
                 # The tail shows what was written meanwhile.
                 return None
 
@@ -117,7 +120,7 @@
             log_event("lease.holder", holder=self.fold.holder, term=self.fold.term)
 
     def _note_read(self) -> None:
-        self.fold.end = max(self.fold.end, self.tail.end)
-        if self.tail.returned_at > self._returned_at:
-            self._returned_at = self.tail.returned_at
-            self.fold.note_return()
+        self.fold.end = max(self.fold.end, self.consumer.end)
+        if self.consumer.reconnected_at > self._returned_at:
+            self._returned_at = self.consumer.reconnected_at
+            self.fold.reset_last_record_at()
--- a/buckthornstile/gateway/_fleet.py
+++ b/buckthornstile/gateway/_load_balancer.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from buckthornstile.base import ServiceName, UpstreamId
-from buckthornstile.calls import UpstreamLoad
-from buckthornstile.routing import compute_score
+from buckthornstile.messages import UpstreamLoad
+from buckthornstile.routing import compute_rendezvous_score
 from buckthornstile.topology import TopologyView, Upstream
 
 LOAD_LIFETIME = 0.5
@@ -30,14 +30,14 @@
 
 
 @dataclass(slots=True)
-class Observed:
+class UpstreamStats:
     """What this process has seen of one incarnation of an upstream.
 
     ``pace`` is the moving average of seconds for a unit of work: to the head of a
     plain answer, or between the events of a stream.
     """
 
-    born: int
+    started_at_ms: int
     open: int = 0
     load: UpstreamLoad | None = None
     load_at: float = -1e9
@@ -50,11 +50,11 @@
     starts: deque[float] = field(default_factory=deque)
 
 
-class Place:
+class Permit:
     """A request that is open at an upstream; releasing it twice counts once."""
 
-    def __init__(self, seen: Observed) -> None:
-        self._seen: Observed | None = seen
+    def __init__(self, seen: UpstreamStats) -> None:
+        self._seen: UpstreamStats | None = seen
 
     def release(self) -> None:
         """Notes that the request has ended, however it did."""
@@ -67,13 +67,13 @@
         self.release()
 
 
-class Fleet:
+class LoadBalancer:
     """Chooses upstreams by load, pace and recent failures.
 
     Args:
         view: The topology in force.
         clock: Gives the steady time in seconds.
-        count_entries: Gives how many entries may be sending now.
+        list_entries: Gives how many entries may be sending now.
         name: This process's name, to share a cold upstream's bound.
         overage: Times a cold upstream's rate that the bound allows.
         slack: Requests a second that the bound allows beyond it.
@@ -86,7 +86,7 @@
         view: TopologyView,
         clock: Callable[[], float],
         *,
-        count_entries: Callable[[], list[str]],
+        list_entries: Callable[[], list[str]],
         name: str,
         overage: float = 1.0,
         slack: float = 0.0,
@@ -95,20 +95,20 @@
         self.default_cold_rate = default_cold_rate
         self.view = view
         self.clock = clock
-        self.count_entries = count_entries
+        self.list_entries = list_entries
         self.name = name
         self.overage = overage
         self.slack = slack
-        self._observed: dict[UpstreamId, Observed] = {}
+        self._observed: dict[UpstreamId, UpstreamStats] = {}
 
-    def get(self, upstream: Upstream) -> Observed:
+    def get(self, upstream: Upstream) -> UpstreamStats:
         """Gives what was seen of an upstream's present incarnation."""
         seen = self._observed.get(upstream.id)
-        if seen is None or seen.born != upstream.born:
-            seen = self._observed[upstream.id] = Observed(upstream.born)
+        if seen is None or seen.started_at_ms != upstream.started_at_ms:
+            seen = self._observed[upstream.id] = UpstreamStats(upstream.started_at_ms)
         return seen
 
-    def forget_gone(self) -> None:
+    def prune(self) -> None:
         """Drops what was seen of upstreams that are gone."""
         for name in list(self._observed):
             if name not in self.view.upstreams and not self._observed[name].open:
@@ -136,12 +136,12 @@
         now = self.clock()
         usable = [
             one
-            for one in self.view.list_usable(service)
-            if (allows is None or allows(one)) and self.may_start(one, now)
+            for one in self.view.list_available_upstreams(service)
+            if (allows is None or allows(one)) and self.is_below_cold_limit(one, now)
         ]
         if not usable:
             return None
-        median = self.find_median_pace(usable)
+        median = self.compute_median_latency(usable)
         ranked = sorted(usable, key=lambda one: self._rank(one, now, median, avoided))
         best = ranked[0]
         for one in usable:
@@ -156,7 +156,7 @@
         seen = self.get(upstream)
         if seen.ejected_until > now or seen.refused_until > now:
             return False
-        if upstream.id in avoided or not self.has_place(upstream):
+        if upstream.id in avoided or not self.has_capacity(upstream):
             return False
         pace, best_pace = seen.pace, self.get(best).pace
         if pace and best_pace and pace >= SLOW_RATIO * best_pace:
@@ -164,11 +164,11 @@
         further = self._estimate_load(upstream, now) - self._estimate_load(best, now)
         return further <= NEAR_LOAD
 
-    def has_place(self, upstream: Upstream) -> bool:
+    def has_capacity(self, upstream: Upstream) -> bool:
         """Whether an upstream seems to have a free place."""
         return self._estimate_load(upstream, self.clock()) < upstream.slots
 
-    def find_median_pace(self, upstreams: Iterable[Upstream]) -> float | None:
+    def compute_median_latency(self, upstreams: Iterable[Upstream]) -> float | None:
         """Finds the median pace of upstreams that have one."""
         paces = sorted(
             pace for one in upstreams if (pace := self.get(one).pace) is not None
@@ -180,15 +180,15 @@
         now = self.clock()
         peers = [
             one
-            for one in self.view.list_usable(upstream.service)
+            for one in self.view.list_available_upstreams(upstream.service)
             if one.id != upstream.id
             and self.get(one).ejected_until <= now
-            and self.has_place(one)
+            and self.has_capacity(one)
         ]
-        median = self.find_median_pace(peers)
+        median = self.compute_median_latency(peers)
         return median is not None and pace > SLOW_RATIO * median
 
-    def is_suspect(self, upstream: Upstream) -> bool:
+    def is_ejected(self, upstream: Upstream) -> bool:
         """Whether an upstream failed so recently that others are better."""
         return self.get(upstream).ejected_until > self.clock()
 
@@ -205,7 +205,7 @@
         pace = seen.pace if seen.pace is not None else median
         slowness = max(1.0, pace / median) if pace and median else 1.0
         load = (self._estimate_load(upstream, now) + 1) / max(1, upstream.slots)
-        tie = compute_score(self.name, upstream.id)
+        tie = compute_rendezvous_score(self.name, upstream.id)
         return (penalty, round(load * slowness, 3), tie)
 
     def _estimate_load(self, upstream: Upstream, now: float) -> float:
@@ -217,7 +217,7 @@
 
     # Cold upstreams
 
-    def may_start(self, upstream: Upstream, now: float) -> bool:
+    def is_below_cold_limit(self, upstream: Upstream, now: float) -> bool:
         """Whether this process's share of a cold upstream's bound allows a start."""
         rate = self._get_cold_rate(upstream)
         if not rate or not self.view.is_cold(upstream.id, now):
@@ -233,17 +233,19 @@
         return service.cold_rate if service else self.default_cold_rate
 
     def _get_cold_share(self, upstream: Upstream, rate: float) -> int:
-        entries = self.count_entries()
+        entries = self.list_entries()
         bound = int(rate * self.overage + self.slack)
         share = bound // max(1, len(entries))
         if share:
             return share
-        ranked = sorted(entries, key=lambda name: compute_score(upstream.id, name))
+        ranked = sorted(
+            entries, key=lambda name: compute_rendezvous_score(upstream.id, name)
+        )
         return int(self.name in ranked[:bound])
 
     # What is seen
 
-    def take_place(self, upstream: Upstream) -> "Place":
+    def acquire_permit(self, upstream: Upstream) -> "Permit":
         """Counts a request that is sent now, until its place is released."""
         seen = self.get(upstream)
         seen.open += 1
@@ -253,16 +255,16 @@
             while starts and starts[0] <= now - COLD_WINDOW:
                 starts.popleft()
             starts.append(now)
-        return Place(seen)
+        return Permit(seen)
 
-    def note_load(self, upstream: Upstream, load: UpstreamLoad | None) -> None:
+    def record_load(self, upstream: Upstream, load: UpstreamLoad | None) -> None:
         """Notes what an upstream says of its load."""
         if load is not None:
             seen = self.get(upstream)
             seen.load, seen.load_at = load, self.clock()
             seen.own_at_load = seen.open
 
-    def note_activity(self, upstream: Upstream) -> None:
+    def record_activity(self, upstream: Upstream) -> None:
         """Notes that an upstream sent something."""
         self.get(upstream).active_at = self.clock()
 
@@ -270,7 +272,7 @@
         """Whether an upstream sent something to this process just now."""
         return self.clock() - self.get(upstream).active_at < ACTIVE_TIME
 
-    def note_pace(self, upstream: Upstream, seconds: float) -> None:
+    def record_latency(self, upstream: Upstream, seconds: float) -> None:
         """Notes how long a unit of work took."""
         seen = self.get(upstream)
         if seen.pace is None:
@@ -278,18 +280,18 @@
         else:
             seen.pace += PACE_WEIGHT * (seconds - seen.pace)
 
-    def note_success(self, upstream: Upstream) -> None:
+    def record_success(self, upstream: Upstream) -> None:
         """Notes a whole answer."""
         seen = self.get(upstream)
         seen.failures, seen.ejected_until = 0, 0.0
 
-    def note_failure(self, upstream: Upstream) -> None:
+    def record_failure(self, upstream: Upstream) -> None:
         """Notes an answer that failed or never came."""
         seen = self.get(upstream)
         seen.failures = min(seen.failures + 1, 8)
         seconds = FIRST_EJECTION * 2 ** (seen.failures - 1)
         seen.ejected_until = self.clock() + min(LONGEST_EJECTION, seconds)
 
-    def note_refusal(self, upstream: Upstream, seconds: float) -> None:
+    def record_refusal(self, upstream: Upstream, seconds: float) -> None:
         """Notes that an upstream had no place."""
         self.get(upstream).refused_until = self.clock() + seconds
--- a/buckthornstile/gateway/_metrics.py
+++ b/buckthornstile/gateway/_metrics.py
@@ -7,8 +7,8 @@
     Counters,
     GaugeName,
     Gauges,
+    HistogramMetric,
     Histograms,
-    Measure,
     render_metrics,
 )
 
@@ -28,15 +28,15 @@
 
     def record_call(self, account: AccountId, seconds: float) -> None:
         """Records the time of a call until its answer."""
-        self._record(Measure.TOTAL, seconds, account, RequestClass.WAITED)
+        self._record(HistogramMetric.TOTAL, seconds, account, RequestClass.INTERACTIVE)
 
     def record_item(self, account: AccountId, seconds: float) -> None:
         """Records the time of an item from its job's submission to its result."""
-        self._record(Measure.TOTAL, seconds, account, RequestClass.TRAINER)
+        self._record(HistogramMetric.TOTAL, seconds, account, RequestClass.TRAINER)
 
     def record_place(self, account: AccountId, seconds: float) -> None:
         """Records how long an item waited for a place at an engine."""
-        self._record(Measure.QUEUE_WAIT, seconds, account, RequestClass.TRAINER)
+        self._record(HistogramMetric.QUEUE_WAIT, seconds, account, RequestClass.TRAINER)
 
     def render(self, counters: Counters, gauges: Mapping[str, float]) -> str:
         """Renders all figures as text."""
@@ -49,7 +49,7 @@
 
     def _record(
         self,
-        measure: Measure,
+        measure: HistogramMetric,
         seconds: float,
         account: AccountId,
         request_class: RequestClass,
--- a/buckthornstile/gateway/_load_orders.py
+++ b/buckthornstile/gateway/_model_load_dispatcher.py
@@ -4,17 +4,17 @@
 from collections.abc import Callable, Coroutine
 
 from buckthornstile.base import BuckthornstileError, ServiceName, UpstreamId
-from buckthornstile.calls import LoadMode, OrderAnswer, VersionOrder
-from buckthornstile.duties import LoadPlanner, PlannedLoad
-from buckthornstile.exchanges import ConnectionPool
-from buckthornstile.gateway._lease_keeper import LeaseKeeper
-from buckthornstile.gateway._presence import Versions
+from buckthornstile.duties import ModelLoadPlanner, PlannedModelLoad
+from buckthornstile.gateway._lease_manager import LeaseManager
+from buckthornstile.gateway._presence import LoadedVersions
+from buckthornstile.http_client import ConnectionPool
 from buckthornstile.logs import log_event
+from buckthornstile.messages import LoadMode, LoadOrder, LoadOrderResult
 from buckthornstile.platform import (
     decode_order_answer,
     decode_report,
     encode_order,
-    encode_report_call,
+    encode_report_request,
 )
 from buckthornstile.topology import TopologyView, Upstream
 
@@ -24,60 +24,60 @@
 """Seconds for an engine to tell its state."""
 
 
-class LoadOrders:
+class ModelLoadDispatcher:
     """Sends the orders that the planner wants, and asks for what became of them.
 
     Args:
         node: The VM's name, under which engines know the holder.
-        keeper: Tells whether this process holds the lease.
+        lease_manager: Tells whether this process holds the lease.
         view: The topology in force.
         planner: Plans loads.
         pool: Connections to upstreams.
-        on_news: Called when an engine was found to hold a new version.
-        note_failure: Called when an engine did not answer.
+        on_version_loaded: Called when an engine was found to hold a new version.
+        record_failure: Called when an engine did not answer.
     """
 
     def __init__(
         self,
         node: str,
-        keeper: LeaseKeeper,
+        lease_manager: LeaseManager,
         *,
         view: TopologyView,
-        planner: LoadPlanner,
+        planner: ModelLoadPlanner,
         pool: ConnectionPool,
-        on_news: Callable[[], None],
-        note_failure: Callable[[Upstream], None],
+        on_version_loaded: Callable[[], None],
+        record_failure: Callable[[Upstream], None],
     ) -> None:
         self.node = node
-        self.keeper = keeper
+        self.lease_manager = lease_manager
         self.view = view
         self.planner = planner
         self.pool = pool
-        self.on_news = on_news
-        self.note_failure = note_failure
+        self.on_version_loaded = on_version_loaded
+        self.record_failure = record_failure
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def order(self) -> None:
         """Sends what is due now; answers are taken in later."""
-        if not self.keeper.may_act():
+        if not self.lease_manager.may_act():
             return
         loads = self.planner.plan()
-        for name in self.planner.list_doubted():
-            self.planner.note_doubt(name)
+        for name in self.planner.list_upstreams_to_poll():
+            self.planner.record_unknown_outcome(name)
             self._spawn(self._ask(name))
         for load in loads:
             expected_orders = self.planner.get_order_count(load.upstream)
             if expected_orders is not None:
-                self.planner.note_doubt(load.upstream)
+                self.planner.record_unknown_outcome(load.upstream)
                 self._spawn(self._send(load, expected_orders))
 
-    def list_fresh_versions(self) -> Versions:
+    def list_unpublished_versions(self) -> LoadedVersions:
         """Lists what engines hold that their entries do not show yet."""
-        if not self.keeper.lease.holds():
+        if not self.lease_manager.lease.holds():
             return {}
         return {
-            name: (self.view.upstreams[name].born, versions)
-            for name, versions in self.planner.list_fresh_versions().items()
+            name: (self.view.upstreams[name].started_at_ms, versions)
+            for name, versions in self.planner.list_unpublished_versions().items()
         }
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
@@ -85,31 +85,31 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _send(self, load: PlannedLoad, expected_orders: int) -> None:
+    async def _send(self, load: PlannedModelLoad, expected_orders: int) -> None:
         upstream = self.view.upstreams.get(load.upstream)
         if upstream is None:
             return
-        order = VersionOrder(
+        order = LoadOrder(
             upstream=load.upstream,
             model=load.model,
             version=load.version,
             mode=self._choose_mode(upstream.service),
             holder=self.node,
-            term=self.keeper.fold.term,
+            term=self.lease_manager.fold.term,
             expected_orders=expected_orders,
         )
         outcome = "unanswered"
         try:
-            async with asyncio.timeout(self.keeper.bound(ORDER_TIMEOUT)):
+            async with asyncio.timeout(self.lease_manager.bound(ORDER_TIMEOUT)):
                 answer = await self.pool.exchange(
                     upstream.address, encode_order(order), fresh=True
                 )
             result = decode_order_answer(answer)
             outcome = result.value
-            if result is OrderAnswer.ACCEPTED:
-                self.planner.note_accepted(load)
-            elif result is OrderAnswer.ALREADY_HOLDS:
-                self.planner.note_holds(load)
+            if result is LoadOrderResult.ACCEPTED:
+                self.planner.record_accepted(load)
+            elif result is LoadOrderResult.ALREADY_HOLDS:
+                self.planner.record_already_loaded(load)
         except (TimeoutError, BuckthornstileError) as error:
             outcome = f"unanswered: {error}"
         log_event(
@@ -128,7 +128,7 @@
         routes = configuration.routes if configuration else ()
         for route in routes:
             names = [name for name, _ in route.services]
-            if service in names and route.needs_single_version:
+            if service in names and route.requires_single_version:
                 return LoadMode.FINISH_FIRST
         return LoadMode.CONTINUE
 
@@ -139,22 +139,24 @@
         try:
             async with asyncio.timeout(REPORT_TIMEOUT):
                 answer = await self.pool.exchange(
-                    upstream.address, encode_report_call(upstream.id)
+                    upstream.address, encode_report_request(upstream.id)
                 )
             report = decode_report(answer)
         except (TimeoutError, BuckthornstileError, ValueError) as error:
-            self.note_failure(upstream)
+            self.record_failure(upstream)
             log_event("engine.report_failed", upstream=name, reason=repr(error))
             return
-        self.planner.note_report(
+        self.planner.record_report(
             upstream.id, report.versions, report.order_count, report.is_busy
         )
         if any(
             version > self.view.get_version(upstream, model)
             for model, version in report.versions.items()
         ):
-            self.view.note_versions(upstream.id, upstream.born, report.versions)
-            self.on_news()
+            self.view.record_versions(
+                upstream.id, upstream.started_at_ms, report.versions
+            )
+            self.on_version_loaded()
         log_event(
             "engine.report",
             upstream=name,
--- a/buckthornstile/gateway/_peers.py
+++ b/buckthornstile/gateway/_peer_client.py
@@ -3,18 +3,18 @@
 import asyncio
 
 from buckthornstile.base import BuckthornstileError, ErrorCode, ProcessName
-from buckthornstile.calls import ClientRequest, Reply
-from buckthornstile.exchanges import ConnectionPool
-from buckthornstile.gateway._followers import Followers
+from buckthornstile.gateway._partition_assignment import PartitionAssignment
 from buckthornstile.gateway._presence import PresenceTable
+from buckthornstile.http_client import ConnectionPool
 from buckthornstile.logs import log_event
-from buckthornstile.platform import decode_forwarded, encode_forward
+from buckthornstile.messages import ClientRequest, Response
+from buckthornstile.platform import decode_forwarded_response, encode_forwarded_request
 
 FORWARD_TIME = 0.6
 """Seconds for a peer to answer, beyond what the request asks to be held."""
 MAX_PEERS = 3
 """Peers that are asked one after the other."""
-RETRY_HINT = 0.1
+RETRY_AFTER_SECONDS = 0.1
 
 
 class PeerClient:
@@ -22,7 +22,7 @@
 
     Args:
         name: This process's name.
-        followers: Which entries follow which partitions.
+        assignment: Which entries follow which partitions.
         presence: Where they listen for each other.
         pool: Connections to them.
     """
@@ -30,16 +30,16 @@
     def __init__(
         self,
         name: ProcessName,
-        followers: Followers,
+        assignment: PartitionAssignment,
         presence: PresenceTable,
         pool: ConnectionPool,
     ) -> None:
         self.name = name
-        self.followers = followers
+        self.assignment = assignment
         self.presence = presence
         self.pool = pool
 
-    async def forward(self, request: ClientRequest, part: int) -> Reply:
+    async def forward(self, request: ClientRequest, part: int) -> Response:
         """Passes a request on until a peer answers it.
 
         Args:
@@ -50,7 +50,7 @@
             BuckthornstileError: No peer gave an answer.
         """
         peers = [
-            name for name in self.followers.list_followers(part) if name != self.name
+            name for name in self.assignment.list_assigned(part) if name != self.name
         ]
         for peer in peers[:MAX_PEERS]:
             address = self.presence.get_address(peer)
@@ -58,16 +58,18 @@
                 continue
             try:
                 async with asyncio.timeout(FORWARD_TIME + request.wait):
-                    answer = await self.pool.exchange(address, encode_forward(request))
+                    answer = await self.pool.exchange(
+                        address, encode_forwarded_request(request)
+                    )
             except (TimeoutError, BuckthornstileError) as error:
                 log_event(
                     "peer.failed", request=request.id, peer=peer, reason=repr(error)
                 )
                 self.pool.drop_idle(address)
                 continue
-            return decode_forwarded(answer)
+            return decode_forwarded_response(answer)
         raise BuckthornstileError(
             ErrorCode.PLATFORM_UNAVAILABLE,
             f"none of {len(peers[:MAX_PEERS])} entries that know the job answered",
-            retry_after=RETRY_HINT,
+            retry_after=RETRY_AFTER_SECONDS,
         )
--- a/buckthornstile/gateway/_presence.py
+++ b/buckthornstile/gateway/_presence.py
@@ -8,9 +8,9 @@
 from buckthornstile.topology import ModelName
 
 PRESENCE_TOPIC = "presence"
-PRESENCE_PERIOD = 0.45
+PRESENCE_INTERVAL = 0.45
 """Seconds between two records of a process."""
-PRESENCE_LIFETIME = 1.7
+PRESENCE_TIMEOUT = 1.7
 """Seconds without a record after which a process is taken as gone: three records
 may be late and one read slow."""
 COUNT_LIFETIME = 10.0
@@ -20,7 +20,7 @@
 """Seconds of silence after which a process is not counted any more at all."""
 
 Counts = Mapping[int, Mapping[str, int]]
-Versions = Mapping[UpstreamId, tuple[int, Mapping[ModelName, int]]]
+LoadedVersions = Mapping[UpstreamId, tuple[int, Mapping[ModelName, int]]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
     node: str
     is_leaving: bool = False
     counts: Counts = field(default_factory=dict)
-    versions: Versions = field(default_factory=dict)
+    versions: LoadedVersions = field(default_factory=dict)
     zone: FailureDomain = FailureDomain("")
     address: str = ""
     made_at: float = 0.0
@@ -72,8 +72,8 @@
             bool(leaving),
             {int(window): dict(one) for window, one in counts.items()},
             {
-                UpstreamId(one): (int(born), dict(models))
-                for one, (born, models) in versions.items()
+                UpstreamId(one): (int(started_at_ms), dict(models))
+                for one, (started_at_ms, models) in versions.items()
             },
             FailureDomain(zone),
             str(address),
@@ -108,10 +108,10 @@
         self._peers: dict[ProcessName, _Peer] = {}
         self._read_at: float | None = None
 
-    def note_read(self) -> None:
+    def on_caught_up(self) -> None:
         """Notes that the topic was read to its end."""
         now = self.clock()
-        if self._read_at is not None and now - self._read_at > PRESENCE_LIFETIME / 2:
+        if self._read_at is not None and now - self._read_at > PRESENCE_TIMEOUT / 2:
             for peer in self._peers.values():
                 peer.seen_at = max(peer.seen_at, now)
         self._read_at = now
@@ -127,18 +127,18 @@
 
     def list_live(self) -> list[ProcessName]:
         """Lists the processes that live and do not leave."""
-        oldest = self.clock() - PRESENCE_LIFETIME
+        oldest = self.clock() - PRESENCE_TIMEOUT
         return [
             name
             for name, peer in self._peers.items()
             if peer.seen_at >= oldest and not peer.record.is_leaving
         ]
 
-    def count_nodes(self) -> int:
+    def count_vms(self) -> int:
         """Counts the VMs of which a record was read, also of those that are gone."""
         return len(self._peers)
 
-    def get_zone(self, name: ProcessName) -> FailureDomain:
+    def get_failure_domain(self, name: ProcessName) -> FailureDomain:
         """The failure domain of a process, or an empty name."""
         peer = self._peers.get(name)
         return peer.record.zone if peer is not None else FailureDomain("")
@@ -148,19 +148,19 @@
         peer = self._peers.get(name)
         return peer.record.address if peer is not None else ""
 
-    def list_addresses(self, besides: ProcessName) -> list[str]:
+    def list_addresses(self, exclude: ProcessName) -> list[str]:
         """Lists where the processes that may live answer, but for one of them."""
         return [
             peer.record.address
-            for name in self.list_possible()
-            if name != besides and (peer := self._peers[name]).record.address
+            for name in self.list_possibly_live()
+            if name != exclude and (peer := self._peers[name]).record.address
         ]
 
     def is_known(self, name: ProcessName) -> bool:
         """Whether a record of a process was read, however old it is now."""
         return name in self._peers
 
-    def list_possible(self) -> list[ProcessName]:
+    def list_possibly_live(self) -> list[ProcessName]:
         """Lists the processes that may still be sending."""
         oldest = self.clock() - COUNT_LIFETIME
         return [name for name, peer in self._peers.items() if peer.seen_at >= oldest]
--- a/buckthornstile/gateway/_store_path.py
+++ b/buckthornstile/gateway/_store_proxy.py
@@ -13,8 +13,8 @@
     PlatformUnavailableError,
     Verdict,
 )
-from buckthornstile.calls import ClientRequest, Reply
 from buckthornstile.logs import log_event
+from buckthornstile.messages import ClientRequest, Response
 from buckthornstile.platform import StoreClient
 
 LOST_TIME = 0.6
@@ -24,31 +24,31 @@
 """Seconds between two looks whether the direct way works again."""
 AVOID_TIME = 1.0
 """Seconds for which an entry that could not pass a call on is not asked again."""
-RETRY_HINT = 0.1
+RETRY_AFTER_SECONDS = 0.1
 """Seconds after which a call that was not passed on may come again."""
 
 
-class StorePath:
+class StoreProxySelector:
     """Keeps track of the direct way, and of entries that may pass calls on.
 
     Args:
         clock: Gives the time in seconds; it must go on while suspended.
-        list_relays: Gives the addresses of the other entries.
+        list_proxies: Gives the addresses of the other entries.
         random_source: For the choice between them.
 
     Example:
-        >>> StorePath(lambda: 0.0, lambda: [], random.Random(7)).choose()
+        >>> StoreProxySelector(lambda: 0.0, lambda: [], random.Random(7)).choose()
         ''
     """
 
     def __init__(
         self,
         clock: Callable[[], float],
-        list_relays: Callable[[], list[str]],
+        list_proxies: Callable[[], list[str]],
         random_source: random.Random,
     ) -> None:
         self.clock = clock
-        self.list_relays = list_relays
+        self.list_proxies = list_proxies
         self.random_source = random_source
         self.is_lost = False
         self._succeeded_at = clock()
@@ -61,12 +61,12 @@
         now = self.clock()
         relays = [
             address
-            for address in self.list_relays()
+            for address in self.list_proxies()
             if self._avoided_until.get(address, now) <= now
         ]
         return self.random_source.choice(relays) if relays else ""
 
-    def note_success(self, relay: str) -> None:
+    def record_success(self, relay: str) -> None:
         """Notes a call that the store answered."""
         if relay:
             self._avoided_until.pop(relay, None)
@@ -77,7 +77,7 @@
             self._avoided_until.clear()
             log_event("store.path_regained")
 
-    def note_failure(self, relay: str) -> None:
+    def record_failure(self, relay: str) -> None:
         """Notes a call that the store did not take, or that had no answer."""
         now = self.clock()
         if relay:
@@ -86,7 +86,7 @@
             self.is_lost = True
             log_event("store.path_lost", away=now - self._succeeded_at)
 
-    async def keep_probing(self, probe: Callable[[], Awaitable[None]]) -> None:
+    async def run_probes(self, probe: Callable[[], Awaitable[None]]) -> None:
         """Tries the direct way while it is lost, until cancelled.
 
         Args:
@@ -101,7 +101,7 @@
                     continue  # already noted as a failure
 
 
-class StoreRelay:
+class StoreProxy:
     """Passes calls to the store on for entries that cannot reach it.
 
     Args:
@@ -109,11 +109,11 @@
         path: This process's own way to it.
     """
 
-    def __init__(self, store: StoreClient, path: StorePath) -> None:
+    def __init__(self, store: StoreClient, path: StoreProxySelector) -> None:
         self.store = store
         self.path = path
 
-    async def handle(self, request: ClientRequest) -> Reply:
+    async def handle(self, request: ClientRequest) -> Response:
         """Passes one call on, and gives the store's answer.
 
         Raises:
@@ -124,10 +124,10 @@
             raise BuckthornstileError(
                 ErrorCode.PLATFORM_UNAVAILABLE,
                 "the store is out of reach here too",
-                retry_after=RETRY_HINT,
+                retry_after=RETRY_AFTER_SECONDS,
             )
         try:
-            answer = await self.store.pass_on(request)
+            answer = await self.store.forward(request)
         except PlatformUnavailableError as error:
             verdict = Verdict.NOT_RUN
             if error.may_have_taken_effect:
@@ -135,4 +135,4 @@
             raise BuckthornstileError(
                 ErrorCode.PLATFORM_UNAVAILABLE, error.message, verdict=verdict
             ) from error
-        return Reply(answer.status, bytes(answer.body))
+        return Response(answer.status, bytes(answer.body))
--- a/buckthornstile/gateway/_relay.py
+++ b/buckthornstile/gateway/_stream_proxy.py
@@ -10,29 +10,29 @@
     UpstreamId,
     Verdict,
 )
-from buckthornstile.calls import (
-    PlannedCall,
-    Reply,
-    StreamEvent,
-    StreamReply,
-    UpstreamCall,
-    UpstreamHead,
-)
-from buckthornstile.exchanges import Answer, ConnectionPool
-from buckthornstile.gateway._calls import (
+from buckthornstile.gateway._call_sender import (
     MAX_REFUSALS,
     REFUSAL_PAUSE,
-    RETRY_HINT,
+    RETRY_AFTER_SECONDS,
     CallSender,
     is_too_old,
 )
-from buckthornstile.gateway._fleet import Fleet, Place
+from buckthornstile.gateway._load_balancer import LoadBalancer, Permit
+from buckthornstile.http_client import ConnectionPool, HTTPResponse
 from buckthornstile.logs import log_event
+from buckthornstile.messages import (
+    Response,
+    ResponseHead,
+    RoutedCall,
+    StreamEvent,
+    StreamingResponse,
+    UpstreamCall,
+)
 from buckthornstile.platform import (
-    EventReader,
-    decode_head,
-    encode_call,
+    UpstreamEventParser,
+    decode_response_head,
     encode_event,
+    encode_upstream_call,
 )
 from buckthornstile.topology import Upstream
 
@@ -42,21 +42,23 @@
 """Events that wait for a slow client before its upstream is held up."""
 
 
-class StreamRelay:
+class StreamProxy:
     """Opens streams at upstreams.
 
     Args:
         sender: Chooses services and counts runs.
-        fleet: Chooses upstreams.
+        balancer: Chooses upstreams.
         pool: Connections to them.
     """
 
-    def __init__(self, sender: CallSender, fleet: Fleet, pool: ConnectionPool) -> None:
+    def __init__(
+        self, sender: CallSender, balancer: LoadBalancer, pool: ConnectionPool
+    ) -> None:
         self.sender = sender
-        self.fleet = fleet
+        self.balancer = balancer
         self.pool = pool
 
-    async def open(self, call: PlannedCall) -> Reply | StreamReply:
+    async def open(self, call: RoutedCall) -> Response | StreamingResponse:
         """Sends a request and gives its answer once its head has arrived.
 
         A stream that breaks goes on at another upstream, under the head of its
@@ -74,17 +76,17 @@
 
     def __init__(
         self,
-        relay: StreamRelay,
+        relay: StreamProxy,
         upstream: Upstream,
         call: UpstreamCall,
-        place: Place,
+        place: Permit,
         check: Callable[[], None] | None,
     ) -> None:
         self.relay = relay
         self.upstream = upstream
         self.place = place
-        self.head: UpstreamHead | None = None
-        self.reader: EventReader | None = None
+        self.head: ResponseHead | None = None
+        self.reader: UpstreamEventParser | None = None
         self.events: asyncio.Queue[tuple[StreamEvent, bytes]] = asyncio.Queue(
             BUFFERED_EVENTS
         )
@@ -93,8 +95,8 @@
         self.task = asyncio.create_task(
             relay.pool.exchange(
                 upstream.address,
-                encode_call(call),
-                on_head=self._take_head,
+                encode_upstream_call(call),
+                on_headers=self._take_head,
                 on_data=self._take_data,
                 fresh=True,
                 check=check,
@@ -102,7 +104,7 @@
         )
         self.task.add_done_callback(self._note_end)
 
-    async def wait_for_head(self, deadline: float) -> UpstreamHead | None:
+    async def wait_for_head(self, deadline: float) -> ResponseHead | None:
         """Waits for the head; None if the run ended or time passed without one."""
         try:
             async with asyncio.timeout_at(deadline):
@@ -129,7 +131,7 @@
             getting.cancel()
         return self.events.get_nowait() if not self.events.empty() else None
 
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the upstream ended the stream cleanly."""
         if not self.task.done() or self.task.cancelled() or self.malformed:
             return False
@@ -150,16 +152,16 @@
         self.task.cancel()
         await asyncio.wait({self.task})
 
-    def _take_head(self, answer: Answer) -> None:
-        self.head = decode_head(answer)
-        self.relay.fleet.note_load(self.upstream, self.head.load)
+    def _take_head(self, answer: HTTPResponse) -> None:
+        self.head = decode_response_head(answer)
+        self.relay.balancer.record_load(self.upstream, self.head.load)
         self.answered.set()
 
     def _take_data(self, chunk: bytes) -> Awaitable[None] | None:
         if self.head is None or self.malformed:
             return None
         if self.reader is None:
-            self.reader = EventReader(self.head.version or 0)
+            self.reader = UpstreamEventParser(self.head.version or 0)
         try:
             events = self.reader.feed(chunk)
         except ValueError:
@@ -179,7 +181,7 @@
 class _Relaying:
     """All runs of one request."""
 
-    def __init__(self, relay: StreamRelay, call: PlannedCall) -> None:
+    def __init__(self, relay: StreamProxy, call: RoutedCall) -> None:
         self.relay = relay
         self.call = call
         self.route = call.route
@@ -188,12 +190,12 @@
         self.runs = 0
         self.refusals = 0
         self.may_have_run = False
-        self.last_event = call.request.resume_after
+        self.last_event = call.request.last_event_id
         self.version: int | None = None
         self.is_counted = False
         self.started_at = asyncio.get_running_loop().time()
 
-    async def open(self) -> Reply | StreamReply:
+    async def open(self) -> Response | StreamingResponse:
         while True:
             run = self._start()
             handed_over = False
@@ -205,15 +207,15 @@
                     self._note_refusal(run, head)
                 elif head.status != 200:
                     answer = await self._read_whole(run)
-                    return Reply(head.status, bytes(answer.body), head.headers)
-                elif head.is_encoded or not head.signature:
+                    return Response(head.status, bytes(answer.body), head.headers)
+                elif head.has_content_encoding or not head.signature:
                     self._note_failure(run)
                 else:
                     self.version = head.version
                     chunks = self._relay_events(run)
                     await anext(chunks)
                     handed_over = True
-                    return StreamReply(200, head.headers, chunks)
+                    return StreamingResponse(200, head.headers, chunks)
             finally:
                 if not handed_over:
                     await run.cancel()
@@ -224,7 +226,7 @@
         Raises:
             BuckthornstileError: No further run is allowed or possible.
         """
-        loop, fleet = asyncio.get_running_loop(), self.relay.fleet
+        loop, balancer = asyncio.get_running_loop(), self.relay.balancer
         if loop.time() >= self.call.deadline:
             raise self._make_error(ErrorCode.DEADLINE_PASSED, "no answer in time")
         may_run = self.runs < max(1, self.route.max_attempts)
@@ -232,7 +234,7 @@
             raise self._make_error(ErrorCode.ANSWER_TRUNCATED, "the stream broke off")
         upstream = None
         if may_run and self.refusals < MAX_REFUSALS:
-            upstream = fleet.choose(self.service, avoided=self.tried)
+            upstream = balancer.choose(self.service, avoided=self.tried)
         if upstream is None:
             raise self._make_error(
                 ErrorCode.NO_UPSTREAM,
@@ -249,14 +251,14 @@
             headers=request.headers,
             body=request.body,
             upstream=upstream.id,
-            time_left=self.call.deadline - loop.time(),
+            remaining_time=self.call.deadline - loop.time(),
             account=self.call.account,
-            resume_after=self.last_event,
+            last_event_id=self.last_event,
         )
-        place = fleet.take_place(upstream)
+        place = balancer.acquire_permit(upstream)
         return _Run(self.relay, upstream, call, place, self.call.check)
 
-    async def _read_whole(self, run: _Run) -> Answer:
+    async def _read_whole(self, run: _Run) -> HTTPResponse:
         self.may_have_run = True
         try:
             async with asyncio.timeout_at(self.call.deadline):
@@ -270,7 +272,7 @@
         error = run.find_error()
         if error is not None and is_too_old(error):
             raise self._make_error(error.code, error.message)
-        self.relay.fleet.note_failure(run.upstream)
+        self.relay.balancer.record_failure(run.upstream)
         if error is not None and error.verdict is Verdict.NOT_RUN:
             self.runs -= 1
             self.refusals += 1
@@ -284,13 +286,13 @@
             reason=error or "silent",
         )
 
-    def _note_refusal(self, run: _Run, head: UpstreamHead) -> None:
+    def _note_refusal(self, run: _Run, head: ResponseHead) -> None:
         self.runs -= 1
         self.refusals += 1
         if head.other_upstream is not None:
-            self.relay.fleet.note_failure(run.upstream)
+            self.relay.balancer.record_failure(run.upstream)
         else:
-            self.relay.fleet.note_refusal(run.upstream, REFUSAL_PAUSE)
+            self.relay.balancer.record_refusal(run.upstream, REFUSAL_PAUSE)
 
     async def _relay_events(self, run: _Run) -> AsyncGenerator[bytes, None]:
         try:
@@ -299,8 +301,8 @@
             while True:
                 async for chunk in self._relay_run(run):
                     yield chunk
-                if run.is_whole():
-                    self.relay.fleet.note_success(run.upstream)
+                if run.is_complete():
+                    self.relay.balancer.record_success(run.upstream)
                     return
                 await run.cancel()
                 self._note_failure(run)
@@ -353,12 +355,12 @@
     def _count_run(self) -> None:
         if not self.is_counted and self.call.account is not None:
             age = asyncio.get_running_loop().time() - self.started_at
-            self.relay.sender.count_run(self.call.account, age)
+            self.relay.sender.on_executed(self.call.account, age)
         self.is_counted = True
 
     def _make_error(self, code: ErrorCode, message: str) -> BuckthornstileError:
         verdict = Verdict.MAY_HAVE_RUN if self.may_have_run else Verdict.NOT_RUN
-        retry_after = None if self.may_have_run else RETRY_HINT
+        retry_after = None if self.may_have_run else RETRY_AFTER_SECONDS
         return BuckthornstileError(
             code, message, verdict=verdict, retry_after=retry_after
         )
--- a/buckthornstile/gateway/_watch.py
+++ b/buckthornstile/gateway/_topology_watcher.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable
 
 from buckthornstile.base import FailureDomain, UpstreamId
+from buckthornstile.consumers import PartitionConsumer
 from buckthornstile.logs import log_event
 from buckthornstile.platform import (
     CONFIGURATION_KEY,
@@ -11,14 +12,13 @@
     OPERATOR_TOPIC,
     UPSTREAM_TOPIC,
     VERSION_PREFIX,
+    KeyedRecord,
     StoreClient,
-    StoredRecord,
     decode_configuration,
     decode_named_version,
     decode_upstream,
 )
-from buckthornstile.tails import Tail
-from buckthornstile.topology import LAPSE_GRACE, TopologyView, Upstream
+from buckthornstile.topology import EXPIRY_GRACE, TopologyView, Upstream
 
 OPERATOR_WAIT = 0.4
 """Seconds that a read is held: bounds how old a configuration can be unknown."""
@@ -32,7 +32,7 @@
 """Seconds between two looks for lapsed entries whose grace has passed."""
 
 
-class Watch:
+class TopologyWatcher:
     """Keeps a topology view up to date.
 
     Args:
@@ -57,16 +57,16 @@
         self.clock = clock
         self.on_change = on_change
         self._lapse_until = 0.0
-        self.operator = Tail(
+        self.operator = PartitionConsumer(
             store,
             OPERATOR_TOPIC,
             0,
             clock=clock,
             wait=OPERATOR_WAIT,
             on_record=self._apply_operator,
-            on_newest=self._apply_all_operator,
+            on_snapshot=self._apply_all_operator,
         )
-        self.upstreams = Tail(
+        self.upstreams = PartitionConsumer(
             store,
             UPSTREAM_TOPIC,
             0,
@@ -74,7 +74,7 @@
             wait=UPSTREAM_WAIT,
             pause=UPSTREAM_PAUSE,
             on_record=self._apply_upstream_record,
-            on_newest=self._apply_all_upstreams,
+            on_snapshot=self._apply_all_upstreams,
         )
 
     def is_loaded(self) -> bool:
@@ -89,7 +89,7 @@
             group.create_task(self.upstreams.run())
             group.create_task(self._expire_lapsed())
 
-    def _apply_all_operator(self, records: list[StoredRecord]) -> None:
+    def _apply_all_operator(self, records: list[KeyedRecord]) -> None:
         zones = {
             FailureDomain(record.key.removeprefix(EVACUATION_PREFIX))
             for record in records
@@ -101,13 +101,13 @@
                 self._apply_operator(record)
         self.on_change()
 
-    def _apply_operator(self, record: StoredRecord) -> None:
+    def _apply_operator(self, record: KeyedRecord) -> None:
         try:
             self._decode_operator(record)
         except ValueError as error:
             log_event("operator.record_unreadable", key=record.key, reason=error)
 
-    def _decode_operator(self, record: StoredRecord) -> None:
+    def _decode_operator(self, record: KeyedRecord) -> None:
         key, value = record.key, record.value
         if key.startswith(EVACUATION_PREFIX):
             zone = FailureDomain(key.removeprefix(EVACUATION_PREFIX))
@@ -126,11 +126,11 @@
                 self.on_change()
         elif key.startswith(VERSION_PREFIX) and value is not None:
             model, version = decode_named_version(value)
-            if self.view.apply_named_version(model, version):
+            if self.view.apply_target_version(model, version):
                 log_event("version.named", model=model, version=version)
                 self.on_change()
 
-    def _apply_all_upstreams(self, records: list[StoredRecord]) -> None:
+    def _apply_all_upstreams(self, records: list[KeyedRecord]) -> None:
         upstreams: dict[UpstreamId, Upstream] = {}
         for record in records:
             upstream = self._decode_upstream(record)
@@ -141,7 +141,7 @@
         self.view.replace_upstreams(upstreams, now, until=until)
         self.on_change()
 
-    def _apply_upstream_record(self, record: StoredRecord) -> None:
+    def _apply_upstream_record(self, record: KeyedRecord) -> None:
         now = self.clock()
         name = UpstreamId(record.key)
         if record.value is None:
@@ -174,7 +174,7 @@
             )
         self.on_change()
 
-    def _decode_upstream(self, record: StoredRecord) -> Upstream | None:
+    def _decode_upstream(self, record: KeyedRecord) -> Upstream | None:
         if record.value is None:
             return None
         try:
@@ -185,17 +185,17 @@
 
     def _get_lapse_end(self, now: float) -> float:
         """Until when a missing entry may have lapsed while the store was away."""
-        tail = self.upstreams
-        lost_at = tail.lost_at
+        consumer = self.upstreams
+        lost_at = consumer.lost_at
         outage = LAPSE_BEATS * self.heartbeat
-        if tail.is_loaded and lost_at is not None and now - lost_at > outage:
-            self._lapse_until = now + LAPSE_GRACE
+        if consumer.is_loaded and lost_at is not None and now - lost_at > outage:
+            self._lapse_until = now + EXPIRY_GRACE
         return self._lapse_until if self._lapse_until > now else 0.0
 
     async def _expire_lapsed(self) -> None:
         while True:
             await asyncio.sleep(EXPIRY_PERIOD)
-            for name in self.view.expire_lapsed(self.clock()):
+            for name in self.view.remove_expired(self.clock()):
                 log_event("upstream.lapsed", upstream=name)
 
 
@@ -204,5 +204,5 @@
         known.is_draining != upstream.is_draining
         or known.address != upstream.address
         or known.versions != upstream.versions
-        or known.born != upstream.born
+        or known.started_at_ms != upstream.started_at_ms
     )
--- a/buckthornstile/gateway/_usage_reports.py
+++ b/buckthornstile/gateway/_usage_reporter.py
@@ -5,7 +5,7 @@
 
 from buckthornstile.base import PlatformUnavailableError, ProcessName
 from buckthornstile.duties import SealRecord, UsageTotals
-from buckthornstile.gateway._lease_keeper import LeaseKeeper
+from buckthornstile.gateway._lease_manager import LeaseManager
 from buckthornstile.logs import log_event
 from buckthornstile.platform import DutyClient
 
@@ -15,38 +15,38 @@
 """Seconds before a report that failed is made again."""
 
 
-class UsageReports:
+class UsageReporter:
     """Appends a seal for each window that is over, then reports from the seal.
 
     Args:
         node: The VM's name, under which the platform knows the holder.
-        keeper: Tells whether this process holds the lease.
+        lease_manager: Tells whether this process holds the lease.
         totals: Sums usage.
         client: Calls to the platform.
         wall_clock: Seconds since the epoch.
         due: Seconds after its end in which a window is to be reported.
-        list_counting: Gives the processes that may still have counts to tell: also
-            those that cannot append yet after an outage of the store.
+        list_pending_processes: Gives the processes that may still have counts to
+            tell: also those that cannot append yet after an outage of the store.
     """
 
     def __init__(
         self,
         node: str,
-        keeper: LeaseKeeper,
+        lease_manager: LeaseManager,
         *,
         totals: UsageTotals,
         client: DutyClient,
         wall_clock: Callable[[], float],
         due: float,
-        list_counting: Callable[[], list[ProcessName]],
+        list_pending_processes: Callable[[], list[ProcessName]],
     ) -> None:
         self.node = node
-        self.keeper = keeper
+        self.lease_manager = lease_manager
         self.totals = totals
         self.client = client
         self.wall_clock = wall_clock
         self.due = due
-        self.list_counting = list_counting
+        self.list_pending_processes = list_pending_processes
 
     async def report(self) -> None:
         """Seals and reports what is due now.
@@ -54,28 +54,28 @@
         Raises:
             PlatformUnavailableError: The store did not take a seal.
         """
-        if not self.keeper.may_act():
+        if not self.lease_manager.may_act():
             return
-        wall = self.wall_clock()
-        fold = self.keeper.fold
-        unsealed = self.totals.find_unsealed(
-            fold.seals, wall, self.due, self.list_counting()
+        wall_time = self.wall_clock()
+        fold = self.lease_manager.fold
+        unsealed = self.totals.find_windows_to_seal(
+            fold.seals, wall_time, self.due, self.list_pending_processes()
         )
         for window in unsealed:
             record = SealRecord(window, self.totals.sum_window(window))
-            offset = await self.keeper.append(record)
+            offset = await self.lease_manager.append(record)
             if offset is None:
                 return
             fold.apply(offset, record)
             log_event("usage.sealed", window=window, counts=dict(record.counts))
         for seal in list(fold.seals.values()):
             if not seal.is_reported:
-                await self._report(seal, wall)
+                await self._report(seal, wall_time)
 
-    async def _report(self, seal: SealRecord, wall: float) -> None:
-        fold = self.keeper.fold
-        age = wall - (seal.window + 1) * self.totals.window
-        if age > self.due or not self.keeper.may_act():
+    async def _report(self, seal: SealRecord, wall_time: float) -> None:
+        fold = self.lease_manager.fold
+        age = wall_time - (seal.window + 1) * self.totals.window
+        if age > self.due or not self.lease_manager.may_act():
             return
         try:
             await self.client.report_usage(
@@ -83,7 +83,7 @@
                 seal.counts,
                 holder=self.node,
                 term=fold.term,
-                timeout=self.keeper.bound(REPORT_TIMEOUT),
+                timeout=self.lease_manager.bound(REPORT_TIMEOUT),
             )
         except PlatformUnavailableError as error:
             log_event("usage.report_failed", window=seal.window, reason=error.message)
@@ -92,4 +92,4 @@
         record = SealRecord(seal.window, seal.counts, is_reported=True)
         log_event("usage.reported", window=seal.window, term=fold.term, age=age)
         fold.apply(fold.end - 1, record)
-        await self.keeper.append(record)
+        await self.lease_manager.append(record)
--- a/buckthornstile/exchanges/_exchange.py
+++ b/buckthornstile/http_client/_connection_pool.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OutgoingRequest:
+class HTTPRequest:
     """A request to a peer.
 
     Args:
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class HTTPResponse:
     """An answer whose head has arrived; ``body`` grows until it is whole."""
 
     status: int
@@ -68,20 +68,18 @@
     body: bytearray = field(default_factory=bytearray)
 
 
-OnHead = Callable[[Answer], None]
+OnHead = Callable[[HTTPResponse], None]
 OnData = Callable[[bytes], Awaitable[None] | None]
 """Takes a part of the body; the connection is not read while it waits."""
 
 
 class _Reader(HTTPMessageDelegate):
-    def __init__(
-        self, request: OutgoingRequest, stream: IOStream, reused: bool
-    ) -> None:
+    def __init__(self, request: HTTPRequest, stream: IOStream, reused: bool) -> None:
         self.request = request
         self.stream = stream
         self.reused = reused
-        self.answer: Answer | None = None
-        self.on_head: OnHead | None = None
+        self.answer: HTTPResponse | None = None
+        self.on_headers: OnHead | None = None
         self.on_data: OnData | None = None
         self.finished = False
         self.crossed = False
@@ -109,9 +107,9 @@
             start_line.version == "HTTP/1.1"
             and headers.get("Connection", "").lower() != "close"
         )
-        self.answer = Answer(start_line.code, headers)
-        if self.on_head is not None:
-            self.on_head(self.answer)
+        self.answer = HTTPResponse(start_line.code, headers)
+        if self.on_headers is not None:
+            self.on_headers(self.answer)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
         if self.answer is None:
@@ -132,28 +130,28 @@
     """Makes HTTP exchanges with many peers and keeps their connections.
 
     Args:
-        maximum_idle: Connections kept for each peer.
+        max_idle_per_peer: Connections kept for each peer.
 
     Example:
-        >>> ConnectionPool().maximum_idle
+        >>> ConnectionPool().max_idle_per_peer
         24
     """
 
-    def __init__(self, *, maximum_idle: int = 24) -> None:
-        self.maximum_idle = maximum_idle
+    def __init__(self, *, max_idle_per_peer: int = 24) -> None:
+        self.max_idle_per_peer = max_idle_per_peer
         self._idle: dict[str, list[tuple[IOStream, float]]] = {}
 
     async def exchange(
         self,
         address: str,
-        request: OutgoingRequest,
+        request: HTTPRequest,
         *,
-        on_head: OnHead | None = None,
+        on_headers: OnHead | None = None,
         on_data: OnData | None = None,
         connect_timeout: float = CONNECT_TIMEOUT,
         fresh: bool = False,
         check: Callable[[], None] | None = None,
-    ) -> Answer:
+    ) -> HTTPResponse:
         """Sends a request and reads its answer to the end.
 
         Cancelling the caller's task closes the connection.
@@ -161,7 +159,7 @@
         Args:
             address: The peer, as ``IP:port``.
             request: The request.
-            on_head: Called when status and headers are there.
+            on_headers: Called when status and headers are there.
             on_data: Called with each part of the body, in place of collecting it.
             connect_timeout: Seconds for a new connection to stand.
             fresh: Use a new connection.
@@ -179,7 +177,7 @@
         if stream is None:
             stream = await _connect(address, connect_timeout)
         reader = _Reader(request, stream, reused)
-        reader.on_head, reader.on_data = on_head, on_data
+        reader.on_headers, reader.on_data = on_headers, on_data
         kept = False
         try:
             is_open = await _run(stream, request, reader, check)
@@ -207,14 +205,14 @@
         now = asyncio.get_running_loop().time()
         while idle:
             stream, until = idle.pop()
-            if now < until and is_silent(stream):
+            if now < until and is_reusable(stream):
                 return stream
             stream.close()
         return None
 
     def _keep(self, address: str, stream: IOStream, headers: HTTPHeaders) -> None:
         idle = self._idle.setdefault(address, [])
-        if len(idle) >= self.maximum_idle:
+        if len(idle) >= self.max_idle_per_peer:
             stream.close()
             return
         seconds = _read_idle_seconds(headers)
@@ -254,7 +252,7 @@
 
 async def _run(
     stream: IOStream,
-    request: OutgoingRequest,
+    request: HTTPRequest,
     reader: _Reader,
     check: Callable[[], None] | None,
 ) -> bool:
@@ -298,7 +296,7 @@
         sent.exception()
 
 
-def _check_whole(stream: IOStream, reader: _Reader) -> Answer:
+def _check_whole(stream: IOStream, reader: _Reader) -> HTTPResponse:
     answer = reader.answer
     if reader.crossed:
         code, message = ErrorCode.ANSWER_CROSSED, "the answer names another request"
@@ -311,7 +309,7 @@
     raise BuckthornstileError(code, message, verdict=Verdict.MAY_HAVE_RUN)
 
 
-def is_silent(stream: IOStream) -> bool:
+def is_reusable(stream: IOStream) -> bool:
     """Whether an idle connection is open and holds nothing unread.
 
     Bytes that nobody asked for are a late or doubled answer.
