--- a/buckthornstile/exchanges/tests/test_exchange.py
+++ b/buckthornstile/http_client/tests/test_connection_pool.py
@@ -6,10 +6,10 @@
 import pytest
 
 from buckthornstile.base import BuckthornstileError, ErrorCode, Verdict
-from buckthornstile.exchanges import ConnectionPool, OutgoingRequest
+from buckthornstile.http_client import ConnectionPool, HTTPRequest
 
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
-REQUEST = OutgoingRequest("POST", "/x", [("Host", "h")], b"hi", "Request-Id", "r1")
+REQUEST = HTTPRequest("POST", "/x", [("Host", "h")], b"hi", "Request-Id", "r1")
 
 
 def play(serve: Serve, test: Callable[[ConnectionPool, str], Awaitable[None]]) -> None:
--- a/buckthornstile/jobs/__init__.py
+++ b/buckthornstile/jobs/__init__.py
@@ -18,7 +18,7 @@
     JobSpecification,
     ResultState,
     ScoreCall,
-    VersionRun,
+    VersionSpan,
 )
 
 __all__ = [
@@ -33,7 +33,7 @@
     "OwnerClaim",
     "ResultState",
     "ScoreCall",
-    "VersionRun",
+    "VersionSpan",
     "encode_claim",
     "encode_end",
     "encode_progress",
--- a/buckthornstile/jobs/_records.py
+++ b/buckthornstile/jobs/_records.py
@@ -11,7 +11,6 @@
 from dataclasses import dataclass
 
 from buckthornstile.base import AccountId, KeyId, ProcessName
-from buckthornstile.calls import StreamEvent
 from buckthornstile.jobs._types import (
     ItemId,
     ItemResult,
@@ -20,8 +19,9 @@
     JobSpecification,
     ResultState,
     ScoreCall,
-    VersionRun,
+    VersionSpan,
 )
+from buckthornstile.messages import StreamEvent
 from buckthornstile.topology import ModelName
 
 SPECIFICATION, OWNER, RESULT, END, PROGRESS = "s", "o", "r", "e", "p"
@@ -159,7 +159,7 @@
     job: JobId, result: ItemResult, max_record_bytes: int
 ) -> list[JobRecord]:
     """Encodes a result."""
-    runs = [[run.version, run.events] for run in result.version_runs]
+    runs = [[run.version, run.events] for run in result.version_spans]
     data = [result.state.value, result.text, runs, result.score]
     value = json.dumps(data).encode()
     prefix = f"{RESULT}/{job}/{result.item}"
@@ -169,8 +169,8 @@
 def decode_result(item: ItemId, value: bytes) -> ItemResult:
     """Decodes a result."""
     state, text, runs, score = json.loads(value)
-    version_runs = tuple(VersionRun(version, events) for version, events in runs)
-    return ItemResult(item, ResultState(state), text, version_runs, score)
+    version_spans = tuple(VersionSpan(version, events) for version, events in runs)
+    return ItemResult(item, ResultState(state), text, version_spans, score)
 
 
 def encode_progress(
--- a/buckthornstile/jobs/_table.py
+++ b/buckthornstile/jobs/_table.py
@@ -4,7 +4,6 @@
 from dataclasses import dataclass, field
 
 from buckthornstile.base import AccountId
-from buckthornstile.calls import StreamEvent
 from buckthornstile.jobs._records import (
     END,
     OWNER,
@@ -27,6 +26,7 @@
     JobSpecification,
     ResultState,
 )
+from buckthornstile.messages import StreamEvent
 
 EXPIRY_MARGIN = 30.0
 """Seconds beyond a result's promised lifetime after which a job is dropped."""
@@ -56,14 +56,14 @@
     positions: dict[ItemId, int] = field(default_factory=dict)
     keys: set[str] = field(default_factory=set)
     items: dict[ItemId, JobItem] = field(default_factory=dict)
-    waiters: list[Callable[[], None]] = field(default_factory=list)
+    change_callbacks: list[Callable[[], None]] = field(default_factory=list)
 
     @property
     def id(self) -> JobId:
         """The job's id."""
         return self.specification.id
 
-    def find_open_items(self) -> Iterator[JobItem]:
+    def iterate_pending_items(self) -> Iterator[JobItem]:
         """Gives the items that are not listed, in the order of submission."""
         for item in self.specification.items:
             if item.id not in self.positions:
@@ -136,7 +136,7 @@
         value: bytes | None,
         now: float,
         *,
-        wall: float,
+        wall_time: float,
     ) -> None:
         """Folds one record.
 
@@ -146,7 +146,7 @@
             key: Its key.
             value: Its value, or None if the key was dropped.
             now: The steady clock, in seconds.
-            wall: Seconds since the epoch.
+            wall_time: Seconds since the epoch.
 
         Raises:
             ValueError: It is no record of a batch job.
@@ -159,7 +159,7 @@
         if whole is None:
             return
         if parsed.kind == SPECIFICATION:
-            self._apply_specification(parsed, part, key, whole, now, wall)
+            self._apply_specification(parsed, part, key, whole, now, wall_time)
             return
         job = self.jobs.get(parsed.job)
         if job is None:
@@ -185,7 +185,7 @@
                 found = events if len(events) > len(found) else found
         return found
 
-    def forget_part(self, part: int) -> None:
+    def drop_partition(self, part: int) -> None:
         """Forgets the jobs of a partition that is not followed any more."""
         for job in [job for job in self.jobs.values() if job.part == part]:
             del self.jobs[job.id]
@@ -217,12 +217,12 @@
         key: str,
         value: bytes,
         now: float,
-        wall: float,
+        wall_time: float,
     ) -> None:
         if parsed.job in self.jobs:
             return
         specification = decode_specification(parsed.job, value)
-        age = max(0.0, wall - specification.submitted_at)
+        age = max(0.0, wall_time - specification.submitted_at)
         job = Job(specification, part, now - age)
         job.items = {item.id: item for item in specification.items}
         job.keys.add(key)
@@ -289,7 +289,7 @@
                 self._finished.pop(owned, None)
 
     def _notify(self, job: Job) -> None:
-        waiters, job.waiters = job.waiters, []
-        for wake in waiters:
+        change_callbacks, job.change_callbacks = job.change_callbacks, []
+        for wake in change_callbacks:
             wake()
         self._on_change(job)
--- a/buckthornstile/jobs/_types.py
+++ b/buckthornstile/jobs/_types.py
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class VersionRun:
+class VersionSpan:
     """Consecutive events that one version of the weights made."""
 
     version: int
@@ -79,15 +79,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemResult:
-    """What is listed of an item; ``version_runs`` are in the order of its events."""
+    """What is listed of an item; ``version_spans`` are in the order of its events."""
 
     item: ItemId
     state: ResultState
     text: str = ""
-    version_runs: tuple[VersionRun, ...] = ()
+    version_spans: tuple[VersionSpan, ...] = ()
     score: str = ""
 
     @property
     def versions(self) -> tuple[int, ...]:
         """The versions that made its events."""
-        return tuple(sorted({run.version for run in self.version_runs}))
+        return tuple(sorted({run.version for run in self.version_spans}))
--- a/buckthornstile/jobs/tests/test_ownership_machine.py
+++ b/buckthornstile/jobs/tests/test_ownership_machine.py
@@ -28,7 +28,7 @@
     encode_specification,
 )
 from buckthornstile.platform import encode_keyed_record
-from standins.store import Partition, Refused
+from standins.store import AppendRejectedError, Partition
 
 JOB = JobId("j1")
 ITEMS = tuple(ItemId(f"i{number}") for number in range(4))
@@ -51,7 +51,7 @@
     def fold(self, offset: int, record: bytes) -> None:
         key = record[1 : 1 + record[0]].decode()
         value = record[1 + record[0] :] or None
-        self.table.apply(0, offset, key, value, 0.0, wall=0.0)
+        self.table.apply(0, offset, key, value, 0.0, wall_time=0.0)
 
 
 class OwnershipMachine(RuleBasedStateMachine):
@@ -74,7 +74,7 @@
             return False
         try:
             self.partition.append(records, producer=JOB, epoch=epoch, sequence=sequence)
-        except Refused:
+        except AppendRejectedError:
             return None
         return outcome != "lost"
 
--- a/buckthornstile/jobs/tests/test_table.py
+++ b/buckthornstile/jobs/tests/test_table.py
@@ -14,7 +14,7 @@
     OwnerClaim,
     ResultState,
     ScoreCall,
-    VersionRun,
+    VersionSpan,
     encode_claim,
     encode_end,
     encode_result,
@@ -56,7 +56,7 @@
         ItemId(f"i{number}"),
         ResultState.COMPLETE,
         "é" * length,
-        (VersionRun(3, 2), VersionRun(4, 1)),
+        (VersionSpan(3, 2), VersionSpan(4, 1)),
         "sig",
     )
 
@@ -72,7 +72,7 @@
 def fold(records: list, table: JobTable | None = None) -> JobTable:
     table = table or JobTable()
     for offset, record in enumerate(records):
-        table.apply(0, offset, record.key, record.value, 5.0, wall=1000.0)
+        table.apply(0, offset, record.key, record.value, 5.0, wall_time=1000.0)
     return table
 
 
@@ -109,9 +109,9 @@
         newest[record.key] = (offset, record.value)
     late = JobTable()
     for key, (offset, value) in sorted(newest.items(), key=lambda one: one[1][0]):
-        late.apply(0, offset, key, value, 5.0, wall=1000.0)
+        late.apply(0, offset, key, value, 5.0, wall_time=1000.0)
     for offset, record in enumerate(stored[cut:], cut):
-        late.apply(0, offset, record.key, record.value, 5.0, wall=1000.0)
+        late.apply(0, offset, record.key, record.value, 5.0, wall_time=1000.0)
     job = late.find(JOB)
     assert job is not None
     assert job.results == tail.results
@@ -121,7 +121,7 @@
     log = make_log([1, 0])
     table = JobTable()
     for offset, record in reversed(list(enumerate(log))):
-        table.apply(0, offset, record.key, record.value, 5.0, wall=1000.0)
+        table.apply(0, offset, record.key, record.value, 5.0, wall_time=1000.0)
     job = table.find(JOB)
     assert job is not None
     assert [result.item for result in job.results] == ["i1", "i0"]
@@ -135,7 +135,7 @@
     assert job is not None
     assert len(job.results) == 1
     record = encode_end(JOB)
-    table.apply(0, 99, record.key, record.value, 5.0, wall=1000.0)
+    table.apply(0, 99, record.key, record.value, 5.0, wall_time=1000.0)
     assert job.is_finished()
 
 
@@ -153,6 +153,6 @@
     assert table.list_expired(5.0 + 120.0, 120.0) == []
     assert table.list_expired(5.0 + 151.0, 120.0) == [job]
     for key in sorted(job.keys):
-        table.apply(0, 200, key, None, 5.0, wall=1000.0)
+        table.apply(0, 200, key, None, 5.0, wall_time=1000.0)
     assert table.find(JOB) is None
     assert table.find_result(AccountId("mill"), make_specification().items[0]) is None
--- a/buckthornstile/logs/__init__.py
+++ b/buckthornstile/logs/__init__.py
@@ -1,10 +1,10 @@
 """Log lines: one structured line for each decision."""
 
-from buckthornstile.logs._event_lines import (
-    EventLineHandler,
+from buckthornstile.logs._event_log import (
+    EventLogHandler,
     log_event,
-    set_up_event_lines,
+    set_up_event_logging,
 )
-from buckthornstile.logs._secrets import hide_keys
+from buckthornstile.logs._redaction import redact_keys
 
-__all__ = ["EventLineHandler", "hide_keys", "log_event", "set_up_event_lines"]
+__all__ = ["EventLogHandler", "redact_keys", "log_event", "set_up_event_logging"]
--- a/buckthornstile/logs/_event_lines.py
+++ b/buckthornstile/logs/_event_log.py
@@ -23,7 +23,7 @@
 _LOGGER = logbook.Logger("buckthornstile.events")
 
 
-class EventLineHandler(logbook.Handler):
+class EventLogHandler(logbook.Handler):
     """Writes event lines to a descriptor and never waits for its reader.
 
     Each event is counted by its name. Lines beyond the rate, and those that a full
@@ -138,8 +138,8 @@
     return str(value)[:MAX_VALUE_LENGTH]
 
 
-def set_up_event_lines(process: ProcessName) -> EventLineHandler:
+def set_up_event_logging(process: ProcessName) -> EventLogHandler:
     """Sends event lines of this process to standard output."""
-    handler = EventLineHandler(process)
+    handler = EventLogHandler(process)
     handler.push_application()
     return handler
--- a/buckthornstile/logs/_secrets.py
+++ b/buckthornstile/logs/_redaction.py
@@ -7,7 +7,7 @@
 KEY_PATTERN = re.compile(r"(bk_|[Bb]earer\s+)[A-Za-z0-9_\-.~+/=]{8,}")
 
 
-def hide_keys(text: str) -> str:
+def redact_keys(text: str) -> str:
     """Hides whatever looks like a key.
 
     Args:
@@ -17,7 +17,7 @@
         The text with each key replaced, and cut to a bounded length.
 
     Example:
-        >>> hide_keys("got bk_0123456789abcdef from 127.0.0.9")
+        >>> redact_keys("got bk_0123456789abcdef from 127.0.0.9")
         'got (hidden) from 127.0.0.9'
     """
     return KEY_PATTERN.sub(HIDDEN, text[:MAX_TEXT_LENGTH])
--- a/buckthornstile/logs/tests/test_event_lines.py
+++ b/buckthornstile/logs/tests/test_event_log.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from buckthornstile.logs import EventLineHandler, log_event
+from buckthornstile.logs import EventLogHandler, log_event
 
 
 @pytest.fixture
@@ -28,7 +28,7 @@
 
 def test_line_holds_its_fields(pipe) -> None:
     reading, writing = pipe
-    with EventLineHandler("e1", descriptor=writing).applicationbound():
+    with EventLogHandler("e1", descriptor=writing).applicationbound():
         log_event("call.answered", request="r1", seconds=0.123456789, other=None)
     (line,) = read_lines(reading)
     assert line["process"] == "e1"
@@ -41,7 +41,7 @@
 def test_lines_beyond_the_rate_are_counted(pipe) -> None:
     reading, writing = pipe
     now = [0.0]
-    handler = EventLineHandler("e1", descriptor=writing, clock=lambda: now[0])
+    handler = EventLogHandler("e1", descriptor=writing, clock=lambda: now[0])
     with handler.applicationbound():
         for number in range(1000):
             log_event("x", number=number)
@@ -58,7 +58,7 @@
 def test_full_pipe_costs_lines_only(pipe) -> None:
     _, writing = pipe
     now = [0.0]
-    handler = EventLineHandler("e1", descriptor=writing, clock=lambda: now[0])
+    handler = EventLogHandler("e1", descriptor=writing, clock=lambda: now[0])
     with handler.applicationbound():
         for number in range(4000):
             now[0] += 0.1
@@ -68,7 +68,7 @@
 
 def test_long_values_are_cut(pipe) -> None:
     reading, writing = pipe
-    with EventLineHandler("e1", descriptor=writing).applicationbound():
+    with EventLogHandler("e1", descriptor=writing).applicationbound():
         log_event("x", text="y" * 10_000)
     (line,) = read_lines(reading)
     assert len(line["text"]) == 200
--- /dev/null
+++ b/buckthornstile/messages/__init__.py
@@ -0,0 +1,37 @@
+"""Requests of clients, calls to upstreams and their answers."""
+
+from buckthornstile.messages._types import (
+    ClientRequest,
+    EngineReport,
+    GenerationHints,
+    Headers,
+    LoadMode,
+    LoadOrder,
+    LoadOrderResult,
+    PrefixBlock,
+    Response,
+    ResponseHead,
+    RoutedCall,
+    StreamEvent,
+    StreamingResponse,
+    UpstreamCall,
+    UpstreamLoad,
+)
+
+__all__ = [
+    "ClientRequest",
+    "EngineReport",
+    "GenerationHints",
+    "Headers",
+    "LoadMode",
+    "LoadOrderResult",
+    "RoutedCall",
+    "PrefixBlock",
+    "Response",
+    "StreamEvent",
+    "StreamingResponse",
+    "UpstreamCall",
+    "ResponseHead",
+    "UpstreamLoad",
+    "LoadOrder",
+]
--- a/buckthornstile/calls/_types.py
+++ b/buckthornstile/messages/_types.py
@@ -14,9 +14,9 @@
 class ClientRequest:
     """One attempt of a client.
 
-    ``headers`` are those that go on to an upstream. ``time_left`` is the seconds
+    ``headers`` are those that go on to an upstream. ``remaining_time`` is the seconds
     that the client still waits, or None. ``wait`` is how long a read of results may
-    be held, in seconds; ``resume_after`` the last event a client already has.
+    be held, in seconds; ``last_event_id`` the last event a client already has.
     """
 
     id: str
@@ -27,9 +27,9 @@
     headers: Headers
     body: bytes
     key: str | None = None
-    time_left: float | None = None
+    remaining_time: float | None = None
     wait: float = 0.0
-    resume_after: int | None = None
+    last_event_id: int | None = None
 
     @property
     def target(self) -> str:
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class Response:
     """What a client is answered; ``retry_after`` is in seconds."""
 
     status: int
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StreamReply:
+class StreamingResponse:
     """An answer whose body arrives in parts.
 
     ``chunks`` ends when the answer is whole, and raises if it never will be.
@@ -64,7 +64,7 @@
 class UpstreamCall:
     """A request as it goes to one upstream.
 
-    ``urgency`` runs from 0, the most urgent, to 9. ``resume_after`` asks for the
+    ``urgency`` runs from 0, the most urgent, to 9. ``last_event_id`` asks for the
     events after that one only.
     """
 
@@ -75,15 +75,15 @@
     headers: Headers
     body: bytes
     upstream: UpstreamId
-    time_left: float
+    remaining_time: float
     account: AccountId | None = None
     urgency: int | None = None
-    resume_after: int | None = None
+    last_event_id: int | None = None
     version: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class PromptPart:
+class PrefixBlock:
     """A part of a prompt that engines keep: its hash, in hexadecimal, and tokens."""
 
     hash: str
@@ -91,7 +91,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Generation:
+class GenerationHints:
     """What a model engine is told of a request beside its body.
 
     ``expected_tokens`` estimates the length of the answer, or is 0.
@@ -101,7 +101,7 @@
     prompt_tokens: int
     max_tokens: int
     expected_tokens: int = 0
-    prefix: tuple[PromptPart, ...] = ()
+    prefix: tuple[PrefixBlock, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,7 +114,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UpstreamHead:
+class ResponseHead:
     """Status and headers of an upstream's answer.
 
     ``is_refusal`` promises that the request was not run. ``version`` is that of
@@ -124,7 +124,7 @@
     status: int
     headers: Headers
     is_refusal: bool = False
-    is_encoded: bool = False
+    has_content_encoding: bool = False
     signature: str = ""
     load: UpstreamLoad | None = None
     version: int | None = None
@@ -140,7 +140,7 @@
     version: int
 
 
-class OrderAnswer(Enum):
+class LoadOrderResult(Enum):
     """What an upstream says to an order."""
 
     ACCEPTED = "accepted"
@@ -158,7 +158,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class VersionOrder:
+class LoadOrder:
     """An order to load a version of a model.
 
     ``expected_orders`` is the count of orders that the upstream must have taken so
@@ -184,7 +184,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlannedCall:
+class RoutedCall:
     """A request with its route, ready to be sent; ``deadline`` is loop time.
 
     ``check`` is called last before each send, and raises ``CONFIGURATION_OLD`` if
--- a/buckthornstile/metrics/__init__.py
+++ b/buckthornstile/metrics/__init__.py
@@ -1,8 +1,8 @@
 """Counters, gauges and HDR histograms, and their text for scrapers."""
 
-from buckthornstile.metrics._histograms import OTHER, Histograms, Measure
+from buckthornstile.metrics._exposition import render_metrics
+from buckthornstile.metrics._histograms import OTHER, HistogramMetric, Histograms
 from buckthornstile.metrics._series import CounterName, Counters, GaugeName, Gauges
-from buckthornstile.metrics._text import render_metrics
 
 __all__ = [
     "OTHER",
@@ -11,6 +11,6 @@
     "GaugeName",
     "Gauges",
     "Histograms",
-    "Measure",
+    "HistogramMetric",
     "render_metrics",
 ]
--- a/buckthornstile/metrics/_text.py
+++ b/buckthornstile/metrics/_exposition.py
@@ -61,7 +61,7 @@
             typed.add(name)
             lines.append(f"# TYPE {name} summary")
         labels = ((label, value),)
-        found = distribution.find_quantiles(QUANTILES)
+        found = distribution.get_quantiles(QUANTILES)
         for quantile, number in zip(QUANTILES, found, strict=True):
             marked = _render_labels((*labels, ("quantile", f"{quantile:g}")))
             lines.append(f"{name}{marked} {number:.6g}")
--- a/buckthornstile/metrics/_histograms.py
+++ b/buckthornstile/metrics/_histograms.py
@@ -18,11 +18,11 @@
 LARGEST_VALUE = 100_000_000_000
 
 
-class Measure(Enum):
+class HistogramMetric(Enum):
     """What a histogram measures: name, unit and steps a unit."""
 
     QUEUE_WAIT = ("queue_wait", "seconds", 1_000_000)
-    FIRST_TOKEN = ("time_to_first_token", "seconds", 1_000_000)
+    TIME_TO_FIRST_TOKEN = ("time_to_first_token", "seconds", 1_000_000)
     TOTAL = ("request_duration", "seconds", 1_000_000)
     TRAINER_IDLE = ("trainer_idle", "seconds", 1_000_000)
     SAMPLE_AGE = ("sample_age", "versions", 1)
@@ -38,13 +38,13 @@
         return self.value[2]
 
 
-class Distribution:
+class Histogram:
     """One HDR histogram with its exact sum.
 
     Example:
-        >>> distribution = Distribution(steps=1_000_000)
+        >>> distribution = Histogram(steps=1_000_000)
         >>> distribution.record(0.25)
-        >>> round(distribution.find_quantile(0.5), 2), distribution.count
+        >>> round(distribution.get_quantile(0.5), 2), distribution.count
         (0.25, 1)
     """
 
@@ -67,26 +67,26 @@
         """Records a value; a negative one counts as 0.
 
         Example:
-            >>> Distribution(steps=1).record(2)
+            >>> Histogram(steps=1).record(2)
         """
         bounded = value if 0 <= value <= self._largest else self._bound(value)
         self._histogram.record_value(int(bounded * self._steps))
         self.sum += bounded
 
-    def find_quantile(self, quantile: float) -> float:
+    def get_quantile(self, quantile: float) -> float:
         """Finds a quantile, 0 for an empty histogram.
 
         Example:
-            >>> Distribution(steps=1).find_quantile(0.99)
+            >>> Histogram(steps=1).get_quantile(0.99)
             0.0
         """
-        return self.find_quantiles((quantile,))[0]
+        return self.get_quantiles((quantile,))[0]
 
-    def find_quantiles(self, quantiles: tuple[float, ...]) -> tuple[float, ...]:
+    def get_quantiles(self, quantiles: tuple[float, ...]) -> tuple[float, ...]:
         """Finds several quantiles in one pass.
 
         Example:
-            >>> Distribution(steps=1).find_quantiles((0.5, 0.99))
+            >>> Histogram(steps=1).get_quantiles((0.5, 0.99))
             (0.0, 0.0)
         """
         if not self.count:
@@ -120,21 +120,24 @@
     Example:
         >>> histograms = Histograms()
         >>> histograms.record(
-        ...     Measure.TOTAL, 0.5, account="mill-7", request_class=RequestClass.WAITED
+        ...     HistogramMetric.TOTAL,
+        ...     0.5,
+        ...     account="mill-7",
+        ...     request_class=RequestClass.INTERACTIVE,
         ... )
-        >>> histograms.find_account(Measure.TOTAL, "mill-7").count
+        >>> histograms.find_account(HistogramMetric.TOTAL, "mill-7").count
         1
     """
 
     def __init__(self, *, max_accounts: int = MAX_ACCOUNTS) -> None:
         self.max_accounts = max_accounts
         self._accounts: set[AccountId] = set()
-        self._by_account: dict[tuple[Measure, AccountId], Distribution] = {}
-        self._by_class: dict[tuple[Measure, RequestClass], Distribution] = {}
+        self._by_account: dict[tuple[HistogramMetric, AccountId], Histogram] = {}
+        self._by_class: dict[tuple[HistogramMetric, RequestClass], Histogram] = {}
 
     def record(
         self,
-        measure: Measure,
+        measure: HistogramMetric,
         value: float,
         *,
         account: AccountId,
@@ -154,20 +157,22 @@
         by_account.record(value)
         by_class = self._by_class.get((measure, request_class))
         if by_class is None:
-            by_class = Distribution(steps=measure.steps)
+            by_class = Histogram(steps=measure.steps)
             self._by_class[(measure, request_class)] = by_class
         by_class.record(value)
 
-    def find_account(self, measure: Measure, account: AccountId) -> Distribution | None:
+    def find_account(
+        self, measure: HistogramMetric, account: AccountId
+    ) -> Histogram | None:
         """Finds a client account's distribution.
 
         Example:
-            >>> Histograms().find_account(Measure.TOTAL, "mill-7") is None
+            >>> Histograms().find_account(HistogramMetric.TOTAL, "mill-7") is None
             True
         """
         return self._by_account.get((measure, account))
 
-    def list_series(self) -> list[tuple[Measure, str, str, Distribution]]:
+    def list_series(self) -> list[tuple[HistogramMetric, str, str, Histogram]]:
         """Lists measure, label name, label value and distribution.
 
         Example:
@@ -184,7 +189,7 @@
         ]
         return sorted(series, key=lambda row: (row[0].full_name, *row[1:3]))
 
-    def _add_account(self, measure: Measure, account: AccountId) -> Distribution:
+    def _add_account(self, measure: HistogramMetric, account: AccountId) -> Histogram:
         if account not in self._accounts:
             if len(self._accounts) >= self.max_accounts:
                 account = OTHER
@@ -192,5 +197,5 @@
                 self._accounts.add(account)
         key = (measure, account)
         if key not in self._by_account:
-            self._by_account[key] = Distribution(steps=measure.steps)
+            self._by_account[key] = Histogram(steps=measure.steps)
         return self._by_account[key]
--- a/buckthornstile/metrics/tests/test_metrics.py
+++ b/buckthornstile/metrics/tests/test_metrics.py
@@ -7,8 +7,8 @@
     OTHER,
     Counters,
     Gauges,
+    HistogramMetric,
     Histograms,
-    Measure,
     render_metrics,
 )
 
@@ -22,13 +22,13 @@
     histograms = Histograms(max_accounts=2)
     for number in range(50):
         histograms.record(
-            Measure.TOTAL,
+            HistogramMetric.TOTAL,
             number / 10,
             account=f"account-{number}",
-            request_class=RequestClass.WAITED,
+            request_class=RequestClass.INTERACTIVE,
         )
     assert len(histograms.list_series()) == 4
-    assert histograms.find_account(Measure.TOTAL, OTHER).count == 48
+    assert histograms.find_account(HistogramMetric.TOTAL, OTHER).count == 48
 
 
 def test_label_values_from_outside_do_not_grow_without_bound():
@@ -43,27 +43,27 @@
     histograms = Histograms()
     for milliseconds in range(1, 1001):
         histograms.record(
-            Measure.QUEUE_WAIT,
+            HistogramMetric.QUEUE_WAIT,
             milliseconds / 1000,
             account="mill-7",
             request_class=RequestClass.TRAINER,
         )
-    distribution = histograms.find_account(Measure.QUEUE_WAIT, "mill-7")
-    assert abs(distribution.find_quantile(0.99) - 0.99) < 0.01
+    distribution = histograms.find_account(HistogramMetric.QUEUE_WAIT, "mill-7")
+    assert abs(distribution.get_quantile(0.99) - 0.99) < 0.01
     assert abs(distribution.sum - 500.5) < 1e-6
     for odd in (-1, float("inf"), float("nan")):
         distribution.record(odd)
     assert distribution.count == 1003
-    assert distribution.find_quantile(0.001) < 0.01
+    assert distribution.get_quantile(0.001) < 0.01
 
 
 def test_the_text_is_well_formed_whatever_the_labels_hold():
     counters, gauges, histograms = Counters(), Gauges(), Histograms()
     counters.increment("refusals", 1_234_567, code='say "no"\n\\')
     gauges.set("limit", 2.5, upstream="engine-1")
-    for measure in Measure:
+    for measure in HistogramMetric:
         histograms.record(
-            measure, 1, account="mill-7", request_class=RequestClass.WAITED
+            measure, 1, account="mill-7", request_class=RequestClass.INTERACTIVE
         )
     text = render_metrics(counters=counters, gauges=gauges, histograms=histograms)
     lines = text.splitlines()
--- a/buckthornstile/platform/__init__.py
+++ b/buckthornstile/platform/__init__.py
@@ -4,56 +4,56 @@
 """
 
 from buckthornstile.platform._duties import DutyClient
-from buckthornstile.platform._jobs import decode_job, render_results
-from buckthornstile.platform._names import (
+from buckthornstile.platform._jobs import decode_job, encode_results
+from buckthornstile.platform._node_settings import (
+    SETTINGS_VARIABLE,
+    read_node_settings,
+)
+from buckthornstile.platform._protocol_names import (
     CONFIGURATION_KEY,
     CONFIGURATION_TOPIC,
     EVACUATION_PREFIX,
     JOB_TOPIC,
     OPERATOR_TOPIC,
-    TRAINER_TOPIC,
+    TRAINER_VERSION_TOPIC,
     UPSTREAM_TOPIC,
     VERSION_PREFIX,
 )
-from buckthornstile.platform._node_settings import (
-    SETTINGS_VARIABLE,
-    read_node_settings,
-)
-from buckthornstile.platform._operator import (
-    decode_configuration,
-    decode_named_version,
-    decode_upstream,
-)
 from buckthornstile.platform._requests import (
-    Subject,
-    decode_forwarded,
+    ResourceKind,
+    decode_forwarded_response,
     decode_request,
-    encode_forward,
-    encode_reply,
-    find_subject,
+    encode_forwarded_request,
+    encode_response,
+    parse_path,
 )
 from buckthornstile.platform._store import (
-    AppendRefusedError,
-    HistoryDroppedError,
-    LogSlice,
-    NewestPages,
+    AppendConflictError,
+    FetchResult,
+    KeyedRecord,
+    LatestRecords,
+    OffsetOutOfRangeError,
     Producer,
     StoreClient,
-    StoredRecord,
     decode_keyed_record,
     encode_keyed_record,
     is_store_call,
 )
+from buckthornstile.platform._store_records import (
+    decode_configuration,
+    decode_named_version,
+    decode_upstream,
+)
 from buckthornstile.platform._upstreams import (
-    EventReader,
-    decode_head,
+    UpstreamEventParser,
     decode_order_answer,
     decode_report,
-    encode_call,
+    decode_response_head,
     encode_event,
     encode_generation,
     encode_order,
-    encode_report_call,
+    encode_report_request,
+    encode_upstream_call,
 )
 
 __all__ = [
@@ -61,24 +61,24 @@
     "EVACUATION_PREFIX",
     "CONFIGURATION_TOPIC",
     "JOB_TOPIC",
-    "TRAINER_TOPIC",
+    "TRAINER_VERSION_TOPIC",
     "OPERATOR_TOPIC",
     "SETTINGS_VARIABLE",
     "UPSTREAM_TOPIC",
     "VERSION_PREFIX",
-    "AppendRefusedError",
+    "AppendConflictError",
     "DutyClient",
-    "EventReader",
-    "HistoryDroppedError",
-    "NewestPages",
-    "LogSlice",
+    "UpstreamEventParser",
+    "OffsetOutOfRangeError",
+    "LatestRecords",
+    "FetchResult",
     "Producer",
     "StoreClient",
-    "StoredRecord",
-    "Subject",
+    "KeyedRecord",
+    "ResourceKind",
     "decode_configuration",
-    "decode_forwarded",
-    "decode_head",
+    "decode_forwarded_response",
+    "decode_response_head",
     "decode_job",
     "decode_keyed_record",
     "decode_named_version",
@@ -86,16 +86,16 @@
     "decode_report",
     "decode_request",
     "decode_upstream",
-    "encode_call",
+    "encode_upstream_call",
     "encode_event",
-    "encode_forward",
+    "encode_forwarded_request",
     "encode_generation",
     "encode_keyed_record",
     "encode_order",
-    "encode_reply",
-    "encode_report_call",
-    "find_subject",
+    "encode_response",
+    "encode_report_request",
+    "parse_path",
     "is_store_call",
     "read_node_settings",
-    "render_results",
+    "encode_results",
 ]
--- a/buckthornstile/platform/_duties.py
+++ b/buckthornstile/platform/_duties.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 
 from buckthornstile.base import BuckthornstileError, PlatformUnavailableError
-from buckthornstile.exchanges import ConnectionPool, OutgoingRequest
-from buckthornstile.platform._names import DUTY_HOLDER, DUTY_TERM
+from buckthornstile.http_client import ConnectionPool, HTTPRequest
+from buckthornstile.platform._protocol_names import DUTY_HOLDER, DUTY_TERM
 
 
 class DutyClient:
@@ -22,7 +22,7 @@
 
     def __init__(self, address: str) -> None:
         self.address = address
-        self._pool = ConnectionPool(maximum_idle=2)
+        self._pool = ConnectionPool(max_idle_per_peer=2)
 
     async def report_usage(
         self,
@@ -45,7 +45,7 @@
             (DUTY_HOLDER, holder),
             (DUTY_TERM, str(term)),
         ]
-        request = OutgoingRequest("POST", "/usage", headers, body)
+        request = HTTPRequest("POST", "/usage", headers, body)
         try:
             async with asyncio.timeout(timeout):
                 answer = await self._pool.exchange(self.address, request)
--- a/buckthornstile/platform/_jobs.py
+++ b/buckthornstile/platform/_jobs.py
@@ -13,7 +13,7 @@
     JobSpecification,
     ScoreCall,
 )
-from buckthornstile.platform._names import (
+from buckthornstile.platform._protocol_names import (
     CONNECTION_HEADERS,
     EXPECTED_TOKENS,
     OWN_HEADERS,
@@ -91,7 +91,7 @@
     )
 
 
-def render_results(results: Sequence[ItemResult], total: int, start: int) -> bytes:
+def encode_results(results: Sequence[ItemResult], total: int, start: int) -> bytes:
     """Renders a job's results from a position on, bounded in bytes."""
     rendered: list[dict[str, object]] = []
     room = MAX_RESULT_BYTES
--- a/buckthornstile/platform/_requests.py
+++ b/buckthornstile/platform/_requests.py
@@ -4,9 +4,9 @@
 
 from tornado.httputil import HTTPHeaders
 
-from buckthornstile.calls import ClientRequest, Headers, Reply, StreamReply
-from buckthornstile.exchanges import Answer, OutgoingRequest
-from buckthornstile.platform._names import (
+from buckthornstile.http_client import HTTPRequest, HTTPResponse
+from buckthornstile.messages import ClientRequest, Headers, Response, StreamingResponse
+from buckthornstile.platform._protocol_names import (
     CONNECTION_HEADERS,
     DEADLINE,
     ITEM_PATH,
@@ -25,7 +25,7 @@
 """Seconds that a read of results may ask to be held."""
 
 
-class Subject(Enum):
+class ResourceKind(Enum):
     """What a request asks for."""
 
     READY = "ready"
@@ -34,15 +34,15 @@
     ROUTE = "route"
 
 
-def find_subject(path: str) -> tuple[Subject, str]:
+def parse_path(path: str) -> tuple[ResourceKind, str]:
     """Tells what a path asks for, and the id that it names."""
     if path == READY_PATH:
-        return Subject.READY, ""
+        return ResourceKind.READY, ""
     if path.startswith(JOB_PATH):
-        return Subject.JOB, path[len(JOB_PATH) :]
+        return ResourceKind.JOB, path[len(JOB_PATH) :]
     if path.startswith(ITEM_PATH):
-        return Subject.ITEM, path[len(ITEM_PATH) :]
-    return Subject.ROUTE, ""
+        return ResourceKind.ITEM, path[len(ITEM_PATH) :]
+    return ResourceKind.ROUTE, ""
 
 
 def decode_request(
@@ -68,25 +68,23 @@
         ),
         body=body,
         key=headers.get(KEY),
-        time_left=_read_milliseconds(headers.get(DEADLINE)),
+        remaining_time=_read_milliseconds(headers.get(DEADLINE)),
         wait=min(MAX_WAIT, _read_milliseconds(headers.get(WAIT)) or 0.0),
-        resume_after=read_integer(headers.get(RESUME_AFTER)),
+        last_event_id=read_integer(headers.get(RESUME_AFTER)),
     )
 
 
-def encode_forward(request: ClientRequest) -> OutgoingRequest:
+def encode_forwarded_request(request: ClientRequest) -> HTTPRequest:
     """Encodes a client's request for another entry, which checks it anew."""
     headers = [("Host", request.host), (REQUEST_ID, request.id)]
     if request.key is not None:
         headers.append((KEY, request.key))
     if request.wait:
         headers.append((WAIT, str(int(request.wait * 1000))))
-    return OutgoingRequest(
-        request.method, request.target, headers, request.body or None
-    )
+    return HTTPRequest(request.method, request.target, headers, request.body or None)
 
 
-def decode_forwarded(answer: Answer) -> Reply:
+def decode_forwarded_response(answer: HTTPResponse) -> Response:
     """Decodes what another entry answered a client's request."""
     kept = ("content-type", RETRY_AFTER.lower())
     headers = tuple(
@@ -94,10 +92,12 @@
         for name, value in answer.headers.get_all()
         if name.lower() in kept
     )
-    return Reply(answer.status, bytes(answer.body), headers)
+    return Response(answer.status, bytes(answer.body), headers)
 
 
-def encode_reply(request: ClientRequest, reply: Reply | StreamReply) -> Headers:
+def encode_response(
+    request: ClientRequest, reply: Response | StreamingResponse
+) -> Headers:
     """Gives the headers of an answer, without those of the connection."""
     headers = list(reply.headers)
     names = {name.lower() for name, _ in headers}
--- a/buckthornstile/platform/_store.py
+++ b/buckthornstile/platform/_store.py
@@ -15,9 +15,9 @@
     PlatformUnavailableError,
     Verdict,
 )
-from buckthornstile.calls import ClientRequest
-from buckthornstile.exchanges import Answer, ConnectionPool, OutgoingRequest
-from buckthornstile.platform._names import DEADLINE, OPERATOR_TOPIC
+from buckthornstile.http_client import ConnectionPool, HTTPRequest, HTTPResponse
+from buckthornstile.messages import ClientRequest
+from buckthornstile.platform._protocol_names import DEADLINE, OPERATOR_TOPIC
 
 LENGTH = struct.Struct(">I")
 READ_HEAD = struct.Struct(">QQ")
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoredRecord:
+class KeyedRecord:
     """A record of a keyed topic; ``value`` is None where the key was dropped."""
 
     offset: int
@@ -43,16 +43,16 @@
 
 
 @dataclass(slots=True)
-class NewestPages:
+class LatestRecords:
     """Pages of the newest records; ``end`` is that of the first page."""
 
-    records: list[StoredRecord] = field(default_factory=list)
+    records: list[KeyedRecord] = field(default_factory=list)
     end: int = -1
-    is_whole: bool = False
+    is_complete: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class LogSlice:
+class FetchResult:
     """Records read from an offset on, and the partition's end."""
 
     records: tuple[tuple[int, bytes], ...]
@@ -60,7 +60,7 @@
     next_offset: int
 
 
-class HistoryDroppedError(BuckthornstileError):
+class OffsetOutOfRangeError(BuckthornstileError):
     """The offset asked for is no longer kept."""
 
     def __init__(self, first: int) -> None:
@@ -68,7 +68,7 @@
         self.first = first
 
 
-class AppendRefusedError(BuckthornstileError):
+class AppendConflictError(BuckthornstileError):
     """A condition of an append did not hold; nothing was written.
 
     Args:
@@ -93,7 +93,7 @@
     sequence: int
 
 
-class PathChooser(Protocol):
+class ProxySelector(Protocol):
     """Chooses the way of each call, and learns what became of it.
 
     A way is the address of a process that passes calls on, or "" for the direct one.
@@ -102,24 +102,24 @@
     def choose(self) -> str:
         """Gives the way of the next call."""
 
-    def note_success(self, relay: str) -> None:
+    def record_success(self, relay: str) -> None:
         """Notes a call that the store answered."""
 
-    def note_failure(self, relay: str) -> None:
+    def record_failure(self, relay: str) -> None:
         """Notes a call that the store did not take, or that had no answer."""
 
 
-class DirectPath:
+class NoProxy:
     """Makes every call the direct way."""
 
     def choose(self) -> str:
         """Gives the direct way."""
         return ""
 
-    def note_success(self, relay: str) -> None:
+    def record_success(self, relay: str) -> None:
         """Takes no note."""
 
-    def note_failure(self, relay: str) -> None:
+    def record_failure(self, relay: str) -> None:
         """Takes no note."""
 
 
@@ -135,10 +135,10 @@
         '127.0.0.1:1'
     """
 
-    def __init__(self, address: str, *, path: PathChooser | None = None) -> None:
+    def __init__(self, address: str, *, path: ProxySelector | None = None) -> None:
         self.address = address
-        self.path = path or DirectPath()
-        self._pool = ConnectionPool(maximum_idle=16)
+        self.path = path or NoProxy()
+        self._pool = ConnectionPool(max_idle_per_peer=16)
 
     async def append(
         self,
@@ -164,7 +164,7 @@
             The offset of the first record.
 
         Raises:
-            AppendRefusedError: A condition does not hold.
+            AppendConflictError: A condition does not hold.
             PlatformUnavailableError: It was refused or got no answer.
         """
         query: dict[str, object] = {"topic": topic, "part": part}
@@ -181,11 +181,11 @@
             _check_status(answer)
         data = _decode_json(answer.body) if answer.body else {}
         if answer.status == 412:
-            raise AppendRefusedError("end", int(data.get("end", -1)))
+            raise AppendConflictError("end", int(data.get("end", -1)))
         if answer.status == 409:
             if data.get("why") == "fenced":
-                raise AppendRefusedError("fenced", -1)
-            raise AppendRefusedError("sequence", _find_sequence(data))
+                raise AppendConflictError("fenced", -1)
+            raise AppendConflictError("sequence", _find_sequence(data))
         return int(data["offset"])
 
     async def read(
@@ -196,11 +196,11 @@
         *,
         wait: float = 0.0,
         timeout: float = CALL_TIMEOUT,
-    ) -> LogSlice:
+    ) -> FetchResult:
         """Reads records from an offset on; waits up to ``wait`` seconds for one.
 
         Raises:
-            HistoryDroppedError: The offset is older than what is kept.
+            OffsetOutOfRangeError: The offset is older than what is kept.
             PlatformUnavailableError: It was refused or got no answer.
         """
         query = {
@@ -213,28 +213,28 @@
         path = "/-/log-read?" + urlencode(query)
         answer = await self._call("GET", path, None, wait + timeout)
         if answer.status == 410:
-            raise HistoryDroppedError(int(_decode_json(answer.body).get("first", 0)))
+            raise OffsetOutOfRangeError(int(_decode_json(answer.body).get("first", 0)))
         _check_status(answer)
         return _decode_slice(bytes(answer.body), start)
 
-    async def read_newest(
+    async def read_latest(
         self, topic: str, part: int, *, timeout: float = CALL_TIMEOUT
-    ) -> tuple[list[StoredRecord], int]:
+    ) -> tuple[list[KeyedRecord], int]:
         """Reads the newest record of each key, and the end before the first page.
 
         Pages are no snapshot: reading on from the returned end repeats what
         changed between them.
         """
-        loading = NewestPages()
-        while not loading.is_whole:
-            await self.read_newest_page(topic, part, loading, timeout=timeout)
+        loading = LatestRecords()
+        while not loading.is_complete:
+            await self.read_latest_page(topic, part, loading, timeout=timeout)
         return loading.records, loading.end
 
-    async def read_newest_page(
+    async def read_latest_page(
         self,
         topic: str,
         part: int,
-        pages: "NewestPages",
+        pages: "LatestRecords",
         *,
         timeout: float = CALL_TIMEOUT,
     ) -> None:
@@ -256,16 +256,16 @@
             pages.end = int(data["end"])
         for item in data.get("items") or ():
             value = base64.b64decode(item["value"])
-            pages.records.append(StoredRecord(item["offset"], item["key"], value))
-        pages.is_whole = not data.get("hasMore") or not pages.records
+            pages.records.append(KeyedRecord(item["offset"], item["key"], value))
+        pages.is_complete = not data.get("hasMore") or not pages.records
 
-    async def pass_on(self, request: ClientRequest) -> Answer:
+    async def forward(self, request: ClientRequest) -> HTTPResponse:
         """Makes another process's call the direct way.
 
         Raises:
             PlatformUnavailableError: It got no answer.
         """
-        timeout = request.time_left or CALL_TIMEOUT
+        timeout = request.remaining_time or CALL_TIMEOUT
         body = request.body if request.method == "POST" else None
         return await self._call(
             request.method, request.target, body, timeout, is_direct=True
@@ -293,33 +293,33 @@
         timeout: float,
         *,
         is_direct: bool = False,
-    ) -> Answer:
+    ) -> HTTPResponse:
         relay = "" if is_direct else self.path.choose()
         address = relay or self.address
         headers = [("Host", self.address)]
         if relay:
             headers.append((DEADLINE, str(int(timeout * 1000))))
-        request = OutgoingRequest(method, path, headers, body)
+        request = HTTPRequest(method, path, headers, body)
         try:
             async with asyncio.timeout(timeout):
                 answer = await self._pool.exchange(address, request)
         except TimeoutError as error:
             # Open connections may all have gone silent while new ones work.
             self._pool.drop_idle(address)
-            self.path.note_failure(relay)
+            self.path.record_failure(relay)
             raise PlatformUnavailableError(
                 "the store gave no answer in time"
             ) from error
         except BuckthornstileError as error:
-            self.path.note_failure(relay)
+            self.path.record_failure(relay)
             raise PlatformUnavailableError(
                 f"the store: {error.message}",
                 may_have_taken_effect=error.verdict is not Verdict.NOT_RUN,
             ) from error
         if answer.status in TURNED_AWAY_STATUSES:
-            self.path.note_failure(relay)
+            self.path.record_failure(relay)
         else:
-            self.path.note_success(relay)
+            self.path.record_success(relay)
         return answer
 
 
@@ -339,7 +339,7 @@
     return bytes([len(name)]) + name + value
 
 
-def decode_keyed_record(offset: int, record: bytes) -> StoredRecord:
+def decode_keyed_record(offset: int, record: bytes) -> KeyedRecord:
     """Decodes a record of a keyed topic.
 
     Raises:
@@ -349,7 +349,7 @@
         raise ValueError(f"the record at {offset} holds no key")
     split = 1 + record[0]
     value = record[split:]
-    return StoredRecord(offset, record[1:split].decode(), value or None)
+    return KeyedRecord(offset, record[1:split].decode(), value or None)
 
 
 def _find_sequence(data: dict[str, object]) -> int:
@@ -360,7 +360,7 @@
     return -1
 
 
-def _check_status(answer: Answer) -> None:
+def _check_status(answer: HTTPResponse) -> None:
     if answer.status == 200:
         return
     raise PlatformUnavailableError(
@@ -379,7 +379,7 @@
     return data
 
 
-def _decode_slice(data: bytes, start: int) -> LogSlice:
+def _decode_slice(data: bytes, start: int) -> FetchResult:
     if len(data) < READ_HEAD.size:
         raise PlatformUnavailableError("the store's answer is too short")
     end, first = READ_HEAD.unpack_from(data)
@@ -394,4 +394,4 @@
         records.append((offset, data[position : position + length]))
         position += length
         offset += 1
-    return LogSlice(tuple(records), end, offset)
+    return FetchResult(tuple(records), end, offset)
--- a/buckthornstile/platform/_operator.py
+++ b/buckthornstile/platform/_store_records.py
@@ -21,7 +21,7 @@
     Upstream,
 )
 
-KINDS = {"safe": RouteKind.REPEATABLE, "rollout": RouteKind.ROLLOUT}
+KINDS = {"safe": RouteKind.IDEMPOTENT, "rollout": RouteKind.ROLLOUT}
 READY, DRAINING = "ready", "draining"
 
 
@@ -80,7 +80,7 @@
         is_open=bool(data.get("allowAnonymous", False)),
         is_streaming=bool(data.get("streaming", False)),
         is_resumable=bool(data.get("resumable", False)),
-        needs_single_version=bool(data.get("singleVersion", False)),
+        requires_single_version=bool(data.get("singleVersion", False)),
         result_deadline=data.get("resultDeadlineMs", 0) / 1000,
         retention=float(data.get("retentionS", 0)),
     )
@@ -132,14 +132,14 @@
         service, address, zone = data["service"], data["address"], data["zone"]
         host, _, port = address.rpartition(":")
         cold, slots = data.get("coldRemainingMs", 0), data["slots"]
-        born, beat = data.get("born", 0), data.get("sequence", 0)
+        started_at_ms, beat = data.get("born", 0), data.get("sequence", 0)
         models = data.get("models") or ()
         versions = {
             ModelName(one["name"]): WeightVersion(one["version"]) for one in models
         }
     except (KeyError, TypeError, AttributeError) as error:
         raise ValueError(f"upstream entry: {type(error).__name__}: {error}") from error
-    numbers = (cold, slots, born, beat, *versions.values())
+    numbers = (cold, slots, started_at_ms, beat, *versions.values())
     texts = (service, zone, host, *versions)
     if any(
         isinstance(one, bool) or not isinstance(one, int | float) for one in numbers
@@ -160,7 +160,7 @@
         slots=int(slots),
         is_draining=state == DRAINING,
         cold_remaining=cold / 1000,
-        born=int(born),
+        started_at_ms=int(started_at_ms),
         beat=int(beat),
         versions=versions,
     )
--- a/buckthornstile/platform/_upstreams.py
+++ b/buckthornstile/platform/_upstreams.py
@@ -3,20 +3,20 @@
 import json
 
 from buckthornstile.base import UpstreamId
-from buckthornstile.calls import (
+from buckthornstile.http_client import HTTPRequest, HTTPResponse
+from buckthornstile.messages import (
     EngineReport,
-    Generation,
+    GenerationHints,
     Headers,
     LoadMode,
-    OrderAnswer,
+    LoadOrder,
+    LoadOrderResult,
+    ResponseHead,
     StreamEvent,
     UpstreamCall,
-    UpstreamHead,
     UpstreamLoad,
-    VersionOrder,
 )
-from buckthornstile.exchanges import Answer, OutgoingRequest
-from buckthornstile.platform._names import (
+from buckthornstile.platform._protocol_names import (
     ACCOUNT,
     CONNECTION_HEADERS,
     DEADLINE,
@@ -43,38 +43,38 @@
 OTHER_UPSTREAM_STATUS = 421
 MODES = {LoadMode.FINISH_FIRST: "wait", LoadMode.CONTINUE: "continue"}
 ORDER_ANSWERS = {
-    202: OrderAnswer.ACCEPTED,
-    200: OrderAnswer.ALREADY_HOLDS,
-    409: OrderAnswer.CONFLICT,
-    421: OrderAnswer.OTHER_UPSTREAM,
+    202: LoadOrderResult.ACCEPTED,
+    200: LoadOrderResult.ALREADY_HOLDS,
+    409: LoadOrderResult.CONFLICT,
+    421: LoadOrderResult.OTHER_UPSTREAM,
 }
 
 
-def encode_call(call: UpstreamCall) -> OutgoingRequest:
+def encode_upstream_call(call: UpstreamCall) -> HTTPRequest:
     """Encodes a call; only the upstream it is meant for will run it."""
     headers = [("Host", call.host)]
     left_out = {REQUEST_ID.lower(), RESUME_AFTER.lower()}
     headers += [one for one in call.headers if one[0].lower() not in left_out]
     headers += [
         (REQUEST_ID, call.id),
-        (DEADLINE, str(max(1, int(call.time_left * 1000)))),
+        (DEADLINE, str(max(1, int(call.remaining_time * 1000)))),
         (EXPECTED_UPSTREAM, call.upstream),
     ]
     if call.account is not None:
         headers.append((ACCOUNT, call.account))
     if call.urgency is not None:
         headers.append((URGENCY, str(call.urgency)))
-    if call.resume_after is not None:
-        headers.append((RESUME_AFTER, str(call.resume_after)))
+    if call.last_event_id is not None:
+        headers.append((RESUME_AFTER, str(call.last_event_id)))
     if call.version is not None:
         headers.append((EXPECTED_VERSION, str(call.version)))
     body = call.body if call.body or call.method not in ("GET", "HEAD") else None
-    return OutgoingRequest(
+    return HTTPRequest(
         call.method, call.target, headers, body, echo_header=REQUEST_ID, echo=call.id
     )
 
 
-def encode_generation(generation: Generation) -> Headers:
+def encode_generation(generation: GenerationHints) -> Headers:
     """Encodes what a model engine is told of a request beside its body."""
     parts = ",".join(f"{part.hash}:{part.tokens}" for part in generation.prefix)
     headers = [
@@ -87,7 +87,7 @@
     return tuple(headers)
 
 
-def decode_head(answer: Answer) -> UpstreamHead:
+def decode_response_head(answer: HTTPResponse) -> ResponseHead:
     """Decodes the head of an upstream's answer."""
     headers = answer.headers
     kept = tuple(
@@ -97,11 +97,11 @@
     )
     is_other = answer.status == OTHER_UPSTREAM_STATUS
     other = headers.get(UPSTREAM_ID) if is_other else None
-    return UpstreamHead(
+    return ResponseHead(
         status=answer.status,
         headers=kept,
         is_refusal=NOT_RUN in headers or is_other,
-        is_encoded="Content-Encoding" in headers,
+        has_content_encoding="Content-Encoding" in headers,
         signature=headers.get(SIGNATURE, ""),
         load=_decode_load(headers.get(LOAD)),
         version=read_integer(headers.get(VERSIONS)),
@@ -109,7 +109,7 @@
     )
 
 
-def encode_order(order: VersionOrder) -> OutgoingRequest:
+def encode_order(order: LoadOrder) -> HTTPRequest:
     """Encodes an order to load a version."""
     data = {
         "operation": "version",
@@ -125,21 +125,21 @@
         ("Content-Type", "application/json"),
         (EXPECTED_UPSTREAM, order.upstream),
     ]
-    return OutgoingRequest("POST", ORDER_PATH, headers, json.dumps(data).encode())
+    return HTTPRequest("POST", ORDER_PATH, headers, json.dumps(data).encode())
 
 
-def decode_order_answer(answer: Answer) -> OrderAnswer:
+def decode_order_answer(answer: HTTPResponse) -> LoadOrderResult:
     """Decodes what an upstream says to an order."""
-    return ORDER_ANSWERS.get(answer.status, OrderAnswer.INVALID)
+    return ORDER_ANSWERS.get(answer.status, LoadOrderResult.INVALID)
 
 
-def encode_report_call(upstream: UpstreamId) -> OutgoingRequest:
+def encode_report_request(upstream: UpstreamId) -> HTTPRequest:
     """Encodes the question for an engine's own report."""
     headers = [("Host", "upstream"), (EXPECTED_UPSTREAM, upstream)]
-    return OutgoingRequest("GET", REPORT_PATH, headers)
+    return HTTPRequest("GET", REPORT_PATH, headers)
 
 
-def decode_report(answer: Answer) -> EngineReport:
+def decode_report(answer: HTTPResponse) -> EngineReport:
     """Decodes an engine's report.
 
     Raises:
@@ -158,14 +158,14 @@
         raise ValueError(f"the report lacks {error}") from error
 
 
-class EventReader:
+class UpstreamEventParser:
     r"""Splits a stream into events as its bytes arrive.
 
     Args:
         version: The version that the answer's head names.
 
     Example:
-        >>> reader = EventReader(3)
+        >>> reader = UpstreamEventParser(3)
         >>> events = reader.feed(b"id: 1\ndata: a\n\nweight-versions: 4\nid: 2")
         >>> events += reader.feed(b"\ndata: b\n\n")
         >>> [(event.id, event.data, event.version) for event, _ in events]
--- a/buckthornstile/platform/tests/test_store.py
+++ b/buckthornstile/platform/tests/test_store.py
@@ -10,8 +10,8 @@
 
 from buckthornstile.base import PlatformUnavailableError
 from buckthornstile.platform import (
-    AppendRefusedError,
-    HistoryDroppedError,
+    AppendConflictError,
+    OffsetOutOfRangeError,
     Producer,
     StoreClient,
     decode_keyed_record,
@@ -62,7 +62,7 @@
 def test_condition_on_the_end() -> None:
     async def test(store: StoreClient, _: Any) -> None:
         assert await store.append("t", 0, [b"a"], at=0) == 0
-        with pytest.raises(AppendRefusedError) as caught:
+        with pytest.raises(AppendConflictError) as caught:
             await store.append("t", 0, [b"b"], at=0)
         assert (caught.value.reason, caught.value.expected) == ("end", 1)
 
@@ -74,11 +74,11 @@
         first = await store.append("t", 0, [b"a"], producer=Producer("p", 1, 0))
         again = await store.append("t", 0, [b"x"], producer=Producer("p", 1, 0))
         assert first == again
-        with pytest.raises(AppendRefusedError) as caught:
+        with pytest.raises(AppendConflictError) as caught:
             await store.append("t", 0, [b"b"], producer=Producer("p", 1, 7))
         assert (caught.value.reason, caught.value.expected) == ("sequence", 1)
         await store.append("t", 0, [b"c"], producer=Producer("p", 2, 0))
-        with pytest.raises(AppendRefusedError) as caught:
+        with pytest.raises(AppendConflictError) as caught:
             await store.append("t", 0, [b"d"], producer=Producer("p", 1, 1))
         assert caught.value.reason == "fenced"
         records = (await store.read("t", 0, 0)).records
@@ -127,13 +127,13 @@
         await store.append("keyed.t", 0, records)
         await store.append("keyed.t", 0, [encode_keyed_record("k001", b"")])
         application.log.get("keyed.t", 0).drop_history()
-        newest, end = await store.read_newest("keyed.t", 0)
+        newest, end = await store.read_latest("keyed.t", 0)
         values = {record.key: record.value for record in newest}
         assert end == 901
         assert len(values) == 599
         assert values["k000"] == b"600"
         assert values["k599"] == b"599"
-        with pytest.raises(HistoryDroppedError) as caught:
+        with pytest.raises(OffsetOutOfRangeError) as caught:
             await store.read("keyed.t", 0, 5)
         assert caught.value.first == 901
 
--- a/buckthornstile/queueing/_lane.py
+++ b/buckthornstile/queueing/_account_queue.py
@@ -8,15 +8,15 @@
 _Key = tuple[float, float, int]
 
 
-class Lane:
+class AccountQueue:
     """One account's items in service order, with its start tag.
 
     Args:
         request_class: The class that the lane belongs to.
 
     Example:
-        >>> lane = Lane(RequestClass.WAITED)
-        >>> lane.add(QueueItem("e1/0", "a", RequestClass.WAITED), 0, 0.0)
+        >>> lane = AccountQueue(RequestClass.INTERACTIVE)
+        >>> lane.add(QueueItem("e1/0", "a", RequestClass.INTERACTIVE), 0, 0.0)
         >>> lane.peek().request_id
         'e1/0'
     """
--- a/buckthornstile/queueing/_fair_queue.py
+++ b/buckthornstile/queueing/_fair_queue.py
@@ -6,8 +6,8 @@
 from heapq import heappop, heappush
 
 from buckthornstile.base import AccountId, ErrorCode, RequestClass, RequestId
+from buckthornstile.queueing._account_queue import AccountQueue
 from buckthornstile.queueing._items import PushResult, QueueItem
-from buckthornstile.queueing._lane import Lane
 
 _CLASSES = tuple(RequestClass)
 _MAX_UNCHARGED = 65_536
@@ -76,14 +76,14 @@
         self.tags = tags
         self.virtual_time = 0.0
         self.credit = 0.0
-        self.lanes: dict[AccountId, Lane] = {}
+        self.lanes: dict[AccountId, AccountQueue] = {}
         self._heap: list[tuple[float, int, AccountId]] = []
         self._parked: list[tuple[float, int, AccountId]] = []
 
-    def activate(self, lane: Lane, account: AccountId, sequence: int) -> None:
+    def activate(self, lane: AccountQueue, account: AccountId, sequence: int) -> None:
         heappush(self._heap, (lane.start_tag, sequence, account))
 
-    def find_lane(self) -> Lane | None:
+    def find_lane(self) -> AccountQueue | None:
         """Gives the lane that is served next; accounts over their share wait."""
         self._release_parked()
         while self._heap:
@@ -102,7 +102,7 @@
     def _get_release(self, account: AccountId) -> float:
         # Trainers keep their precedence over work that nobody waits on, even
         # beyond their share: their lots bound what they can ask for.
-        if self.request_class is not RequestClass.WAITED:
+        if self.request_class is not RequestClass.INTERACTIVE:
             return self.tags.virtual_time
         return self.tags.get_release(account)
 
@@ -151,7 +151,7 @@
 
     Example:
         >>> queue = FairQueue()
-        >>> item = QueueItem("e1/0", "mill-7", RequestClass.WAITED, cost=20)
+        >>> item = QueueItem("e1/0", "mill-7", RequestClass.INTERACTIVE, cost=20)
         >>> queue.push(item, 0.0).accepted
         True
         >>> queue.pop(0.1).request_id
@@ -246,7 +246,7 @@
     def pop(self, now: float) -> QueueItem | None:
         """Takes the item to be served next.
 
-        Items past their deadline are dropped; see :meth:`take_expired`.
+        Items past their deadline are dropped; see :meth:`pop_expired`.
 
         Args:
             now: The clock reading, in seconds.
@@ -309,7 +309,7 @@
             self._sequence += 1
             queue.activate(lane, item.account, self._sequence)
 
-    def take_expired(self) -> tuple[QueueItem, ...]:
+    def pop_expired(self) -> tuple[QueueItem, ...]:
         """Gives the items dropped at their deadline since the last call."""
         expired = tuple(self._expired)
         self._expired.clear()
@@ -338,7 +338,7 @@
         own = self._classes[request_class].lanes.get(account)
         share = (own.cost if own else 0.0) / weight
         for name in _CLASSES:
-            lanes: Iterable[Lane] = self._classes[name].lanes.values()
+            lanes: Iterable[AccountQueue] = self._classes[name].lanes.values()
             if name is request_class:
                 ahead += sum(min(lane.cost, share * lane.weight) for lane in lanes)
                 break
@@ -355,7 +355,7 @@
         lane = queue.lanes.get(item.account)
         if lane is None:
             queue.discard_idle()
-            lane = queue.lanes[item.account] = Lane(item.request_class)
+            lane = queue.lanes[item.account] = AccountQueue(item.request_class)
         if not lane.items:
             lane.start_tag = max(lane.start_tag, queue.virtual_time)
             queue.activate(lane, item.account, self._sequence)
@@ -388,8 +388,8 @@
                 self._expired.append(self._take(request_id))
                 self.counters.expired += 1
 
-    def _choose_class(self) -> tuple[_ClassQueue, Lane] | None:
-        chosen: tuple[_ClassQueue, Lane] | None = None
+    def _choose_class(self) -> tuple[_ClassQueue, AccountQueue] | None:
+        chosen: tuple[_ClassQueue, AccountQueue] | None = None
         for name in reversed(_CLASSES):
             queue = self._classes[name]
             lane = queue.find_lane()
--- a/buckthornstile/queueing/_items.py
+++ b/buckthornstile/queueing/_items.py
@@ -20,7 +20,7 @@
         deadline: The clock reading after which nobody wants the answer.
 
     Example:
-        >>> QueueItem("e1/0", "mill-7", RequestClass.WAITED).cost
+        >>> QueueItem("e1/0", "mill-7", RequestClass.INTERACTIVE).cost
         1.0
     """
 
--- a/buckthornstile/queueing/tests/test_fairness.py
+++ b/buckthornstile/queueing/tests/test_fairness.py
@@ -59,7 +59,7 @@
     share = SPEED / count
     for number in range(count):
         rate = share * (10.0 if number == 0 else 0.95)
-        world["sources"].append((f"a{number}", RequestClass.WAITED, rate))
+        world["sources"].append((f"a{number}", RequestClass.INTERACTIVE, rate))
 
 
 @given("trainer corrections that fill the upstream, and stock checks")
@@ -74,7 +74,7 @@
 def add_waited_flood(world):
     world["sources"] = [
         ("corrections", RequestClass.TRAINER, 0.5 * SPEED),
-        ("large", RequestClass.WAITED, 5.0 * SPEED),
+        ("large", RequestClass.INTERACTIVE, 5.0 * SPEED),
     ]
 
 
--- a/buckthornstile/queueing/tests/test_properties.py
+++ b/buckthornstile/queueing/tests/test_properties.py
@@ -34,7 +34,7 @@
                 QueueItem(
                     f"e/{number}",
                     account,
-                    RequestClass.WAITED,
+                    RequestClass.INTERACTIVE,
                     weight=WEIGHTS[account],
                     cost=cost,
                 )
@@ -85,7 +85,9 @@
     served = 0.0
     for number in range(2000):
         cost = costs[number % len(costs)]
-        queue.push(QueueItem(f"e/{number}", "a", RequestClass.WAITED, cost=cost), 0.0)
+        queue.push(
+            QueueItem(f"e/{number}", "a", RequestClass.INTERACTIVE, cost=cost), 0.0
+        )
         item = queue.pop(0.0)
         if item.account == "z":
             break
@@ -122,7 +124,7 @@
             deadline=self.now + patience,
         )
         result = self.queue.push(item, self.now)
-        for expired in self.queue.take_expired():
+        for expired in self.queue.pop_expired():
             self.leave(expired)
         for shed in result.shed:
             assert shed.account != account
@@ -135,7 +137,7 @@
     @rule()
     def pop(self):
         item = self.queue.pop(self.now)
-        for expired in self.queue.take_expired():
+        for expired in self.queue.pop_expired():
             assert expired.deadline <= self.now
             self.leave(expired)
         if item is None:
--- a/buckthornstile/routing/__init__.py
+++ b/buckthornstile/routing/__init__.py
@@ -1,5 +1,5 @@
 """Placing work on names that every process ranks alike."""
 
-from buckthornstile.routing._rendezvous import compute_score
+from buckthornstile.routing._rendezvous import compute_rendezvous_score
 
-__all__ = ["compute_score"]
+__all__ = ["compute_rendezvous_score"]
--- a/buckthornstile/routing/_rendezvous.py
+++ b/buckthornstile/routing/_rendezvous.py
@@ -3,7 +3,7 @@
 from xxhash import xxh3_64_intdigest
 
 
-def compute_score(key: str, name: str) -> int:
+def compute_rendezvous_score(key: str, name: str) -> int:
     """Computes how well a name suits a key.
 
     Args:
@@ -14,7 +14,7 @@
         A score from 0 to 2**64 - 1; the greatest wins.
 
     Example:
-        >>> compute_score("k", "u1") == compute_score("k", "u1")
+        >>> compute_rendezvous_score("k", "u1") == compute_rendezvous_score("k", "u1")
         True
     """
     return xxh3_64_intdigest(f"{key}\x00{name}".encode())
--- a/buckthornstile/samples/__init__.py
+++ b/buckthornstile/samples/__init__.py
@@ -10,7 +10,11 @@
     encode_line,
     encode_sample,
 )
-from buckthornstile.samples._received import AttachRequest, Receipt, ReceivedSet
+from buckthornstile.samples._receiver import (
+    AttachRequest,
+    ReceiveResult,
+    SampleReceiver,
+)
 from buckthornstile.samples._specification import (
     GroupSpecification,
     LotSpecification,
@@ -18,7 +22,7 @@
     make_lot_id,
     parse_specification,
 )
-from buckthornstile.samples._values import Sample, Slot, TokenRange
+from buckthornstile.samples._types import Sample, Slot, TokenRange
 
 __all__ = [
     "AttachRequest",
@@ -28,8 +32,8 @@
     "HeartbeatLine",
     "Line",
     "LotSpecification",
-    "Receipt",
-    "ReceivedSet",
+    "ReceiveResult",
+    "SampleReceiver",
     "Sample",
     "SampleLine",
     "Slot",
--- a/buckthornstile/samples/_lines.py
+++ b/buckthornstile/samples/_lines.py
@@ -8,7 +8,7 @@
 from pydantic import BaseModel, ConfigDict, Field
 
 from buckthornstile.base import BuckthornstileError, ErrorCode, Verdict
-from buckthornstile.samples._values import Sample, Slot, TokenRange
+from buckthornstile.samples._types import Sample, Slot, TokenRange
 
 DIGEST_BYTES = 16
 _Count = Annotated[int, Field(ge=0)]
--- a/buckthornstile/samples/_received.py
+++ b/buckthornstile/samples/_receiver.py
@@ -7,10 +7,10 @@
 from buckthornstile.base import BuckthornstileError, ErrorCode, Verdict, WeightVersion
 from buckthornstile.samples._lines import SampleLine, digest_body
 from buckthornstile.samples._specification import LotSpecification
-from buckthornstile.samples._values import Slot
+from buckthornstile.samples._types import Slot
 
 
-class Receipt(Enum):
+class ReceiveResult(Enum):
     """What became of a sample that came in."""
 
     NEW = "new"
@@ -41,7 +41,7 @@
         }
 
 
-class ReceivedSet:
+class SampleReceiver:
     """Removes duplicates, refuses broken or old samples, and counts attaches.
 
     Args:
@@ -54,13 +54,13 @@
         >>> from buckthornstile.samples import GroupSpecification
         >>> group = GroupSpecification(prompt="p", samples=1)
         >>> wanted = LotSpecification(lot="l", trainer="t", groups=(group,), version=3)
-        >>> received = ReceivedSet(wanted)
+        >>> received = SampleReceiver(wanted)
         >>> received.begin_attach().attach
         1
         >>> line = SampleLine(group=0, index=0, body={}, labels=((0, 1, 2),),
         ...     digest=digest_body({}))
         >>> received.receive(line), received.receive(line), received.is_complete
-        (<Receipt.NEW: 'new'>, <Receipt.DUPLICATE: 'duplicate'>, True)
+        (<ReceiveResult.NEW: 'new'>, <ReceiveResult.DUPLICATE: 'duplicate'>, True)
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         )
         return AttachRequest(attach, self.received, specification)
 
-    def on_trainer_version(self, version: int) -> None:
+    def update_trainer_version(self, version: int) -> None:
         """Takes in the trainer's version; an older one changes nothing.
 
         Args:
@@ -108,7 +108,7 @@
         """
         self.trainer_version = WeightVersion(max(self.trainer_version, version))
 
-    def receive(self, line: SampleLine) -> Receipt:
+    def receive(self, line: SampleLine) -> ReceiveResult:
         """Takes in a sample.
 
         Args:
@@ -127,17 +127,17 @@
         if line.slot in self._received:
             self.duplicate_count += 1
             self._unacknowledged.add(line.slot)
-            return Receipt.DUPLICATE
+            return ReceiveResult.DUPLICATE
         oldest = min(label[2] for label in line.labels)
         if oldest < self.specification.get_minimum_version(self.trainer_version):
             self.too_old_count += 1
             self.needs_attach = True
-            return Receipt.TOO_OLD
+            return ReceiveResult.TOO_OLD
         self._received.add(line.slot)
         self._unacknowledged.add(line.slot)
-        return Receipt.NEW
+        return ReceiveResult.NEW
 
-    def confirm_acknowledged(self, slots: Iterable[Slot]) -> None:
+    def mark_acknowledged(self, slots: Iterable[Slot]) -> None:
         """Takes in that an entry has taken an acknowledgement.
 
         Args:
--- a/buckthornstile/samples/_specification.py
+++ b/buckthornstile/samples/_specification.py
@@ -14,7 +14,7 @@
     TrainerId,
     WeightVersion,
 )
-from buckthornstile.samples._values import Slot
+from buckthornstile.samples._types import Slot
 
 MAX_SLOTS = 16_384
 MAX_PROMPT_CHARACTERS = 1 << 18
--- a/buckthornstile/samples/tests/test_lines.py
+++ b/buckthornstile/samples/tests/test_lines.py
@@ -10,8 +10,8 @@
 from buckthornstile.samples import (
     GroupSpecification,
     LotSpecification,
-    ReceivedSet,
     Sample,
+    SampleReceiver,
     Slot,
     TokenRange,
     decode_line,
@@ -29,7 +29,7 @@
 
 def make_received():
     group = GroupSpecification(prompt="p", samples=2)
-    return ReceivedSet(
+    return SampleReceiver(
         LotSpecification(lot="l", trainer="t", groups=(group,), version=5)
     )
 
--- a/buckthornstile/settings/__init__.py
+++ b/buckthornstile/settings/__init__.py
@@ -1,7 +1,6 @@
 """Settings of entries and of the operators' commands."""
 
 from buckthornstile.settings._common import CommonSettings
-from buckthornstile.settings._document import render_settings_page
 from buckthornstile.settings._entry import EntrySettings
 from buckthornstile.settings._load import (
     describe_settings,
@@ -9,6 +8,7 @@
     load_settings,
 )
 from buckthornstile.settings._operator import OperatorSettings
+from buckthornstile.settings._reference_page import render_settings_page
 
 __all__ = [
     "CommonSettings",
--- a/buckthornstile/sheet/_parse.py
+++ b/buckthornstile/sheet/_parse.py
@@ -13,8 +13,8 @@
     OpenRoute,
     Rule,
 )
-from buckthornstile.sheet._cells import Cell, Row, read_rows
 from buckthornstile.sheet._errors import SheetError, SheetErrorCode, SheetProblem
+from buckthornstile.sheet._reader import Cell, Row, read_rows
 
 COLUMNS = (
     "kind",
--- a/buckthornstile/sheet/_plan.py
+++ b/buckthornstile/sheet/_plan.py
@@ -10,13 +10,13 @@
     Revision,
 )
 from buckthornstile.configuration import (
+    ApiKey,
     Configuration,
     ConfigurationChange,
     ConfigurationItem,
-    ItemName,
-    Key,
-    NewKey,
-    make_key,
+    GeneratedApiKey,
+    ItemReference,
+    generate_api_key,
 )
 from buckthornstile.sheet._errors import SheetError, SheetErrorCode, SheetProblem
 from buckthornstile.sheet._parse import Sheet, SheetKey
@@ -48,7 +48,7 @@
     removed: tuple[ConfigurationItem, ...] = ()
     unchanged: tuple[ConfigurationItem, ...] = field(default=(), compare=False)
     new_keys: tuple[SheetKey, ...] = ()
-    withdrawn_keys: tuple[Key, ...] = ()
+    withdrawn_keys: tuple[ApiKey, ...] = ()
     kept: tuple[ConfigurationItem, ...] = field(default=(), compare=False)
 
     @property
@@ -94,7 +94,7 @@
     before: dict[tuple[str, str], ConfigurationItem] = {
         (item.kind, str(item.name)): item
         for item in configuration.list_items()
-        if not isinstance(item, Key)
+        if not isinstance(item, ApiKey)
     }
     wanted = {(item.kind, str(item.name)): item for item in sheet.items}
     missing = [item for name, item in before.items() if name not in wanted]
@@ -126,7 +126,7 @@
 
 def make_sheet_keys(
     plan: SheetPlan, *, token_bytes: Callable[[int], bytes]
-) -> tuple[NewKey, ...]:
+) -> tuple[GeneratedApiKey, ...]:
     """Makes the keys that a plan adds.
 
     Args:
@@ -141,7 +141,7 @@
         ()
     """
     return tuple(
-        make_key(key.account, token_bytes=token_bytes, name=key.name)
+        generate_api_key(key.account, token_bytes=token_bytes, name=key.name)
         for key in plan.new_keys
     )
 
@@ -150,7 +150,7 @@
     plan: SheetPlan,
     *,
     change_id: ChangeId,
-    new_keys: Sequence[NewKey] = (),
+    new_keys: Sequence[GeneratedApiKey] = (),
     operator: str = "",
 ) -> ConfigurationChange:
     """Makes the change that carries out a plan.
@@ -175,7 +175,9 @@
         change_id=change_id,
         base_revision=plan.base_revision,
         put=(*plan.added, *plan.changed, *(key.item for key in new_keys), *withdrawn),
-        remove=tuple(ItemName(kind=item.kind, name=item.name) for item in plan.removed),
+        remove=tuple(
+            ItemReference(kind=item.kind, name=item.name) for item in plan.removed
+        ),
         operator=operator,
     )
 
@@ -196,7 +198,7 @@
 def _check_removal(configuration: Configuration, plan: SheetPlan) -> None:
     removed = len(plan.removed)
     standing = sum(
-        not (isinstance(item, Key) and item.withdrawn)
+        not (isinstance(item, ApiKey) and item.withdrawn)
         for item in configuration.list_items()
     )
     if removed > FEW_REMOVALS and removed > LARGEST_REMOVED_SHARE * standing:
--- a/buckthornstile/sheet/_cells.py
+++ b/buckthornstile/sheet/_reader.py
@@ -129,8 +129,8 @@
     if isinstance(value, bool):
         return Cell("true" if value else "false")
     if isinstance(value, int | float):
-        is_whole = isinstance(value, int) or value.is_integer()
-        return Cell(str(int(value)) if is_whole else repr(value))
+        is_complete = isinstance(value, int) or value.is_integer()
+        return Cell(str(int(value)) if is_complete else repr(value))
     if not isinstance(value, str):
         # A spreadsheet has taken the text for a date.
         return Cell(str(value)[:MAX_CELL_LENGTH], SheetErrorCode.CELL_INVALID)
--- a/buckthornstile/sheet/tests/test_sheet.py
+++ b/buckthornstile/sheet/tests/test_sheet.py
@@ -123,7 +123,7 @@
 
 def test_a_spreadsheet_that_unpacks_to_much_is_not_unpacked(monkeypatch):
     data = make_xlsx([["kind"]])
-    name = "buckthornstile.sheet._cells.MAX_UNPACKED_BYTES"
+    name = "buckthornstile.sheet._reader.MAX_UNPACKED_BYTES"
     monkeypatch.setattr(name, 1000)
     assert read_problems(data) == [(0, "", "too_large")]
 
--- a/buckthornstile/topology/__init__.py
+++ b/buckthornstile/topology/__init__.py
@@ -10,11 +10,11 @@
     Service,
     Upstream,
 )
-from buckthornstile.topology._view import LAPSE_GRACE, OWN_HOST, TopologyView
+from buckthornstile.topology._view import API_HOST, EXPIRY_GRACE, TopologyView
 
 __all__ = [
-    "LAPSE_GRACE",
-    "OWN_HOST",
+    "EXPIRY_GRACE",
+    "API_HOST",
     "Account",
     "ClientLimits",
     "Configuration",
--- a/buckthornstile/topology/_types.py
+++ b/buckthornstile/topology/_types.py
@@ -19,7 +19,7 @@
 class RouteKind(Enum):
     """What the system may do with a request of a route."""
 
-    REPEATABLE = "repeatable"
+    IDEMPOTENT = "repeatable"
     AT_MOST_ONCE = "at_most_once"
     ROLLOUT = "rollout"
 
@@ -44,7 +44,7 @@
     is_open: bool = False
     is_streaming: bool = False
     is_resumable: bool = False
-    needs_single_version: bool = False
+    requires_single_version: bool = False
     result_deadline: float = 0.0
     retention: float = 0.0
 
@@ -95,9 +95,9 @@
 class Upstream:
     """One back end as it last described itself.
 
-    ``born`` is the millisecond of its start: the same id with another ``born``
-    is another incarnation. ``beat`` counts what it wrote of itself since then.
-    ``cold_remaining`` is in seconds.
+    ``started_at_ms`` is the millisecond of its start: the same id with another
+    ``started_at_ms`` is another incarnation. ``beat`` counts what it wrote of itself
+    since then. ``cold_remaining`` is in seconds.
     """
 
     id: UpstreamId
@@ -108,7 +108,7 @@
     slots: int
     is_draining: bool = False
     cold_remaining: float = 0.0
-    born: int = 0
+    started_at_ms: int = 0
     beat: int = 0
     versions: dict[ModelName, WeightVersion] = field(default_factory=dict)
 
--- a/buckthornstile/topology/_view.py
+++ b/buckthornstile/topology/_view.py
@@ -12,10 +12,10 @@
     Upstream,
 )
 
-OWN_HOST = ""
+API_HOST = ""
 """Host of the routes of the product's own interface; their prefix is a name that no
 path of a client can be."""
-LAPSE_GRACE = 2.0
+EXPIRY_GRACE = 2.0
 """Seconds after the store's return within which lapsed entries are back."""
 LATE_WRITE = 6.0
 """Seconds for which the store may still carry out a write that had no answer."""
@@ -28,7 +28,7 @@
 class _Trace:
     """The newest write of an upstream, kept also after its entry is gone."""
 
-    born: int
+    started_at_ms: int
     beat: int
     at: float
     removed_at: float | None = None
@@ -49,7 +49,7 @@
     def __init__(self) -> None:
         self.configuration: Configuration | None = None
         self.evacuated: set[FailureDomain] = set()
-        self.named_versions: dict[ModelName, int] = {}
+        self.target_versions: dict[ModelName, int] = {}
         self.upstreams: dict[UpstreamId, Upstream] = {}
         self._lapsing: dict[UpstreamId, float] = {}
         self._cold_until: dict[UpstreamId, float] = {}
@@ -83,7 +83,7 @@
         else:
             self.evacuated.discard(zone)
 
-    def replace_own_configuration(
+    def replace_api_configuration(
         self, routes: Iterable[Route], drained: Iterable[FailureDomain]
     ) -> None:
         """Puts the routes and drains of the product's own interface in force."""
@@ -94,11 +94,11 @@
         """Puts a whole list of evacuated failure domains in force."""
         self.evacuated = set(zones)
 
-    def apply_named_version(self, model: ModelName, version: int) -> bool:
+    def apply_target_version(self, model: ModelName, version: int) -> bool:
         """Notes the version that a trainer named; versions only grow."""
-        if version <= self.named_versions.get(model, 0):
+        if version <= self.target_versions.get(model, 0):
             return False
-        self.named_versions[model] = version
+        self.target_versions[model] = version
         return True
 
     def apply_upstream(self, upstream: Upstream, now: float) -> bool:
@@ -120,13 +120,22 @@
 
     def _is_newest(self, upstream: Upstream, now: float) -> bool:
         trace = self._traces.get(upstream.id)
-        if trace is None or upstream.born > trace.born:
-            self._traces[upstream.id] = _Trace(upstream.born, upstream.beat, now)
+        if trace is None or upstream.started_at_ms > trace.started_at_ms:
+            self._traces[upstream.id] = _Trace(
+                upstream.started_at_ms, upstream.beat, now
+            )
             return True
-        is_older = (upstream.born, upstream.beat) < (trace.born, trace.beat)
+        is_older = (upstream.started_at_ms, upstream.beat) < (
+            trace.started_at_ms,
+            trace.beat,
+        )
         if is_older and now - trace.at < LATE_WRITE:
             return False
-        trace.born, trace.beat, trace.at = upstream.born, upstream.beat, now
+        trace.started_at_ms, trace.beat, trace.at = (
+            upstream.started_at_ms,
+            upstream.beat,
+            now,
+        )
         if trace.removed_at is None or now - trace.removed_at > LATE_WRITE:
             trace.removed_at = trace.return_at = None
             return True
@@ -159,7 +168,7 @@
         self._seen_versions.pop(upstream_id, None)
         self.upstreams.pop(upstream_id, None)
 
-    def expire_lapsed(self, now: float) -> list[UpstreamId]:
+    def remove_expired(self, now: float) -> list[UpstreamId]:
         """Takes out lapsed upstreams whose grace has passed, and names them."""
         gone = [name for name, until in self._lapsing.items() if until <= now]
         for name in gone:
@@ -180,29 +189,38 @@
         """Whether an upstream is still cold after its start."""
         return self._cold_until.get(upstream_id, 0.0) > now
 
-    def note_versions(
-        self, upstream_id: UpstreamId, born: int, versions: Mapping[ModelName, int]
+    def record_versions(
+        self,
+        upstream_id: UpstreamId,
+        started_at_ms: int,
+        versions: Mapping[ModelName, int],
     ) -> None:
         """Notes versions that an engine was seen to hold before its entry says so."""
-        known_born, known = self._seen_versions.get(upstream_id, (born, {}))
-        if known_born != born:
+        known_born, known = self._seen_versions.get(upstream_id, (started_at_ms, {}))
+        if known_born != started_at_ms:
             known = {}
         for model, version in versions.items():
             known[model] = max(version, known.get(model, 0))
-        self._seen_versions[upstream_id] = (born, known)
+        self._seen_versions[upstream_id] = (started_at_ms, known)
 
     def get_version(self, upstream: Upstream, model: ModelName) -> int:
         """The version of a model that an engine holds; 0 if it has none."""
         version = int(upstream.versions.get(model, 0))
-        born, seen = self._seen_versions.get(upstream.id, (upstream.born, {}))
-        return max(version, seen.get(model, 0)) if born == upstream.born else version
+        started_at_ms, seen = self._seen_versions.get(
+            upstream.id, (upstream.started_at_ms, {})
+        )
+        return (
+            max(version, seen.get(model, 0))
+            if started_at_ms == upstream.started_at_ms
+            else version
+        )
 
     def find_route(self, host: str, path: str) -> Route | None:
         """Finds the route with the longest prefix that begins the path.
 
         A route of the product's own interface is found by its name.
         """
-        if host == OWN_HOST:
+        if host == API_HOST:
             return self._own_routes.get(path)
         for route in self._routes.get(host, ()):
             if path.startswith(route.path_prefix):
@@ -213,7 +231,7 @@
         """Finds the account that holds a key now."""
         return self._accounts.get(key)
 
-    def list_usable(self, service: ServiceName) -> list[Upstream]:
+    def list_available_upstreams(self, service: ServiceName) -> list[Upstream]:
         """Lists the upstreams of a service that may get new work."""
         return [
             upstream
@@ -224,7 +242,7 @@
             and upstream.zone not in self.drained
         ]
 
-    def list_model_services(self) -> dict[ServiceName, tuple[ModelName, ...]]:
+    def get_models_by_service(self) -> dict[ServiceName, tuple[ModelName, ...]]:
         """Lists the services whose upstreams hold models, and which models.
 
         Those of services that are not configured are what their upstreams hold.
--- a/buckthornstile/topology/tests/test_view.py
+++ b/buckthornstile/topology/tests/test_view.py
@@ -12,14 +12,14 @@
         "port": 9000,
         "zone": "bench-a",
         "slots": 4,
-        "born": 10,
+        "started_at_ms": 10,
         "beat": beat,
     } | changes
     return Upstream(**fields)
 
 
 def list_names(view: TopologyView) -> list[str]:
-    return [upstream.id for upstream in view.list_usable("desk")]
+    return [upstream.id for upstream in view.list_available_upstreams("desk")]
 
 
 def test_late_write_does_not_undo_a_drain() -> None:
@@ -51,16 +51,16 @@
     view = TopologyView()
     view.apply_upstream(make_upstream(50), 0.0)
     view.remove_upstream("w1", 1.0)
-    assert view.apply_upstream(make_upstream(1, born=20), 1.5)
+    assert view.apply_upstream(make_upstream(1, started_at_ms=20), 1.5)
     assert list_names(view) == ["w1"]
-    assert not view.apply_upstream(make_upstream(51, born=10), 1.6)
+    assert not view.apply_upstream(make_upstream(51, started_at_ms=10), 1.6)
 
 
 def test_counts_that_start_anew_without_a_time_of_start_are_taken_later() -> None:
     view = TopologyView()
-    view.apply_upstream(make_upstream(50, born=0), 0.0)
-    assert not view.apply_upstream(make_upstream(1, born=0), 1.0)
-    assert view.apply_upstream(make_upstream(8, born=0), 7.0)
+    view.apply_upstream(make_upstream(50, started_at_ms=0), 0.0)
+    assert not view.apply_upstream(make_upstream(1, started_at_ms=0), 1.0)
+    assert view.apply_upstream(make_upstream(8, started_at_ms=0), 7.0)
 
 
 def test_lapsed_entry_is_kept_then_gone_and_back_at_once() -> None:
@@ -68,8 +68,8 @@
     view.apply_upstream(make_upstream(5), 0.0)
     view.remove_upstream("w1", 1.0, until=3.0)
     assert list_names(view) == ["w1"]
-    assert view.expire_lapsed(2.9) == []
-    assert view.expire_lapsed(3.0) == ["w1"]
+    assert view.remove_expired(2.9) == []
+    assert view.remove_expired(3.0) == ["w1"]
     assert list_names(view) == []
     assert view.apply_upstream(make_upstream(9), 3.5)
 
@@ -86,16 +86,19 @@
     view = TopologyView()
     upstream = make_upstream(versions={"llm": 3})
     view.apply_upstream(upstream, 0.0)
-    view.note_versions("w1", 10, {"llm": 5})
+    view.record_versions("w1", 10, {"llm": 5})
     assert view.get_version(upstream, "llm") == 5
-    assert view.get_version(make_upstream(born=11, versions={"llm": 3}), "llm") == 3
+    assert (
+        view.get_version(make_upstream(started_at_ms=11, versions={"llm": 3}), "llm")
+        == 3
+    )
     assert view.get_version(upstream, "other") == 0
 
 
 def test_configuration_and_named_versions_only_go_forward() -> None:
     view = TopologyView()
-    route = Route("r", "h", "/a/", RouteKind.REPEATABLE, (("desk", 1.0),), 1.0, 0.1)
-    longer = Route("l", "h", "/a/b/", RouteKind.REPEATABLE, (("x", 1.0),), 1.0, 0.1)
+    route = Route("r", "h", "/a/", RouteKind.IDEMPOTENT, (("desk", 1.0),), 1.0, 0.1)
+    longer = Route("l", "h", "/a/b/", RouteKind.IDEMPOTENT, (("x", 1.0),), 1.0, 0.1)
     account = Account("mill", ("k1",))
     configuration = Configuration(7, (route, longer), accounts=(account,))
     assert view.apply_configuration(configuration)
@@ -104,5 +107,5 @@
     assert view.find_route("h", "/a/c") == route
     assert view.find_route("h", "/c") is None
     assert view.find_account("k1") == account
-    assert view.apply_named_version("llm", 3)
-    assert not view.apply_named_version("llm", 2)
+    assert view.apply_target_version("llm", 3)
+    assert not view.apply_target_version("llm", 2)
--- a/examples/_callers.py
+++ b/examples/_caller_pool.py
@@ -13,7 +13,7 @@
     RetryPolicy,
     Verdict,
 )
-from standins.worker import make_tokens
+from standins.worker import generate_tokens
 
 CALL_TIMEOUT = 20.0  # seconds
 READY_INTERVAL = 0.1  # seconds
@@ -21,7 +21,7 @@
 STREAM_TOKENS = 60
 
 
-class Balancer:
+class ReadinessBalancer:
     """Knows which entries are ready, as the platform's balancer does.
 
     Args:
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class CallStatistics:
     """What the callers saw.
 
     Args:
@@ -95,7 +95,7 @@
         return ended + self.short
 
 
-class Callers:
+class CallerPool:
     """Sends calls of all kinds until told to stop.
 
     Args:
@@ -106,7 +106,12 @@
     """
 
     def __init__(
-        self, balancer: Balancer, keys: dict[str, str], tally: Tally, *, pause: float
+        self,
+        balancer: ReadinessBalancer,
+        keys: dict[str, str],
+        tally: CallStatistics,
+        *,
+        pause: float,
     ) -> None:
         self.balancer = balancer
         self.keys = keys
@@ -199,7 +204,7 @@
                 "/v1/completions", json.dumps(body).encode(), timeout=CALL_TIMEOUT
             )
         ]
-        wanted = make_tokens(name, 0, STREAM_TOKENS)
+        wanted = generate_tokens(name, 0, STREAM_TOKENS)
         self.tally.count("streamed", right=tokens == wanted)
 
 
--- a/examples/_journals.py
+++ b/examples/_verification.py
@@ -8,13 +8,13 @@
 
 from buckthornstile import LotSpecification, ReceivedSample, Slot
 from standins.deployment import Deployment
-from standins.worker import make_tokens
+from standins.worker import generate_tokens
 
 JournalEntry = dict[str, Any]
 
 
 @dataclass(slots=True)
-class LotTally:
+class LotStatistics:
     """What the trainer got.
 
     Args:
@@ -76,7 +76,7 @@
 ) -> bool:
     group = lot.groups[sample.slot.group]
     seed = sample.slot.index
-    tokens = make_tokens(group.prompt, seed, group.max_tokens)
+    tokens = generate_tokens(group.prompt, seed, group.max_tokens)
     if sample.text != "\n".join(tokens):
         return False
     events = truth.get((group.prompt, seed), {})
--- a/examples/morning_sheet.py
+++ b/examples/apply_sheet.py
@@ -1,6 +1,6 @@
 """An operator's morning: plan the sheet, apply it, and look that all is well.
 
-Run it with ``python -m examples.morning_sheet SHEET STORE_ADDRESS URL,URL``.
+Run it with ``python -m examples.apply_sheet SHEET STORE_ADDRESS URL,URL``.
 """
 
 import json
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -22,18 +22,18 @@
     RetryPolicy,
     TrainerClient,
 )
-from examples._callers import Balancer, Callers, Tally
+from examples._caller_pool import CallerPool, CallStatistics, ReadinessBalancer
 from examples._commands import run_command
-from examples._journals import (
-    LotTally,
+from examples._report import Report
+from examples._verification import (
+    LotStatistics,
     count_keys_seen,
     count_label_errors,
     count_order_runs,
     find_withdrawal,
 )
-from examples._report import Report
 from standins.deployment import Deployment
-from standins.launch import BenchProcess
+from standins.process import ManagedProcess
 
 SHEET = Path(__file__).with_name("sheet.csv")
 DOMAINS = ("bench-a", "bench-b")
@@ -65,16 +65,16 @@
     def __init__(self, deployment: Deployment, report: Report) -> None:
         self.deployment = deployment
         self.report = report
-        self.tally = Tally()
+        self.tally = CallStatistics()
         self.keys: dict[str, str] = {}
         self.withdrawn_key = ""
 
     async def run(self) -> None:
         """Runs all steps but the start."""
         await self.apply_sheet()
-        balancer = Balancer(self.deployment.entry_urls)
+        balancer = ReadinessBalancer(self.deployment.entry_urls)
         balancing = asyncio.create_task(balancer.run())
-        callers = Callers(balancer, self.keys, self.tally, pause=CALLER_PAUSE)
+        callers = CallerPool(balancer, self.keys, self.tally, pause=CALLER_PAUSE)
         callers.start()
         try:
             await self.run_lot()
@@ -139,7 +139,7 @@
         trainer = TrainerClient(
             self.deployment.entry_urls, self.keys["tooth-geometry"], "geometry"
         )
-        tally = LotTally()
+        tally = LotStatistics()
         version = OLD_VERSION
         swap: asyncio.Task[None] | None = None
         async with contextlib.aclosing(trainer.run_lot(lot)) as samples:
@@ -157,7 +157,7 @@
         self._check_lot(lot, tally, trainer)
 
     def _check_lot(
-        self, lot: LotSpecification, tally: LotTally, trainer: TrainerClient
+        self, lot: LotSpecification, tally: LotStatistics, trainer: TrainerClient
     ) -> None:
         report = self.report
         deliveries = tally.count_slots()
@@ -190,7 +190,7 @@
             for model in report["models"]
         )
 
-    def _list_engines(self) -> list[BenchProcess]:
+    def _list_engines(self) -> list[ManagedProcess]:
         workers = self.deployment.workers
         return [p for name, p in workers.items() if name.startswith("model-")]
 
@@ -314,7 +314,7 @@
 
 def kill_processes(deployment: Deployment) -> None:
     """Kills whatever still runs."""
-    for process in deployment.bench.processes:
+    for process in deployment.process_manager.processes:
         if process.is_running:
             process.kill()
 
--- a/examples/tests/test_demo.py
+++ b/examples/tests/test_demo.py
@@ -18,8 +18,8 @@
     Slot,
     TokenRange,
 )
-from examples._journals import LotTally, count_label_errors
-from standins.worker import make_tokens
+from examples._verification import LotStatistics, count_label_errors
+from standins.worker import generate_tokens
 
 ROOT = Path(__file__).parents[2]
 GIVE_UP = 150.0  # seconds
@@ -114,13 +114,13 @@
         {"body": body, "headers": {}, "versions": [1, 1]},
         {"body": body, "headers": {"Last-Event-Id": "2"}, "versions": [2, 2]},
     ]
-    tokens = "\n".join(make_tokens("p", 0, 4)) if text != "wrong" else "x"
+    tokens = "\n".join(generate_tokens("p", 0, 4)) if text != "wrong" else "x"
     journals = [runs[:1], [] if text == "none" else runs[1:]]
     assert count_label_errors([make_sample(tokens, *labels)], LOT, journals) == errors
 
 
 def test_old_and_doubled_samples_are_counted():
-    tally = LotTally()
+    tally = LotStatistics()
     tally.add(make_sample("x", (0, 1, 1), (2, 3, 2)), trainer_version=2)
     tally.add(make_sample("x", (0, 3, 2)), trainer_version=2)
     assert tally.count_slots() == {Slot(0, 0): 2}
--- a/examples/tests/test_examples.py
+++ b/examples/tests/test_examples.py
@@ -5,7 +5,7 @@
 import pytest
 
 from buckthornstile import CallerClient, TrainerClient
-from examples import caller, demo, morning_sheet, trainer_loop
+from examples import apply_sheet, caller, demo, trainer_loop
 from standins.deployment import Deployment
 
 
@@ -22,7 +22,7 @@
 def keys(deployment):
     urls = ",".join(deployment.entry_urls)
     sheet = str(demo.SHEET)
-    return morning_sheet.apply_morning_sheet(
+    return apply_sheet.apply_morning_sheet(
         sheet, deployment.store.url.removeprefix("http://"), urls
     )
 
@@ -31,7 +31,7 @@
     assert set(keys) == {"mill-7-clerks", "geometry-trainers"}
     urls = ",".join(deployment.entry_urls)
     sheet = str(demo.SHEET)
-    again = morning_sheet.apply_morning_sheet(
+    again = apply_sheet.apply_morning_sheet(
         sheet, deployment.store.url.removeprefix("http://"), urls
     )
     assert again == {}
@@ -72,9 +72,9 @@
 
 def test_an_operator_sees_what_concerns_a_subject(deployment, keys):
     url = deployment.entry_urls[0]
-    status, answer = morning_sheet.run("explain", "configuration", f"--entries={url}")
+    status, answer = apply_sheet.run("explain", "configuration", f"--entries={url}")
     assert status == 0
     assert {event["event"] for event in answer["events"]} == {"configuration.in_force"}
     assert answer["errors"] == {}
-    _, whole = morning_sheet.run("explain", f"--entries={url}")
+    _, whole = apply_sheet.run("explain", f"--entries={url}")
     assert len(whole["events"]) > len(answer["events"])
--- a/soak/_load.py
+++ b/soak/_load.py
@@ -8,8 +8,8 @@
 
 from buckthornstile.base import BuckthornstileError
 from soak._deployment import SoakDeployment
-from tests.checker import CallSeen
-from tests.support import make_lot
+from tests.harness import make_lot
+from tests.invariants import CallRecord
 
 CLIENT_PAUSE = 0.03  # seconds
 LOT_PAUSE = 0.2  # seconds
@@ -24,19 +24,19 @@
 
     def __init__(self, deployment: SoakDeployment) -> None:
         self.deployment = deployment
-        self.world = deployment.world
+        self.harness = deployment.harness
 
     async def run(self, stopping: asyncio.Event) -> None:
         """Sends calls of all kinds and lots until told to stop."""
-        world = self.world
-        caller = world.make_caller()
-        other = world.make_caller(key=self.deployment.other_key, attempts=1)
+        harness = self.harness
+        caller = harness.make_caller()
+        other = harness.make_caller(key=self.deployment.other_key, attempts=1)
         kinds = [
-            lambda: world.order(caller, timeout=8.0),
-            lambda: world.look_up(caller, timeout=8.0),
-            lambda: world.complete(caller, timeout=8.0),
-            lambda: world.complete(caller, stream=True, tokens=150, timeout=8.0),
-            lambda: world.order(other, account="quay", timeout=8.0),
+            lambda: harness.order(caller, timeout=8.0),
+            lambda: harness.look_up(caller, timeout=8.0),
+            lambda: harness.complete(caller, timeout=8.0),
+            lambda: harness.complete(caller, stream=True, tokens=150, timeout=8.0),
+            lambda: harness.order(other, account="quay", timeout=8.0),
         ]
 
         async def loop(call: Any) -> None:
@@ -57,9 +57,9 @@
             lot = lot.model_copy(
                 update={"version": self.deployment.version, "timeout": 12.0}
             )
-            trainer = self.world.make_trainer()
+            trainer = self.harness.make_trainer()
             with contextlib.suppress(BuckthornstileError):
-                await self.world.run_lot(
+                await self.harness.run_lot(
                     trainer, lot, get_version=lambda: self.deployment.version
                 )
             number += 1
@@ -69,7 +69,7 @@
         """Sends lookups on one connection until its entry is gone, then on another."""
         number = 0
         while not stopping.is_set():
-            urls = self.world.entry_urls
+            urls = self.harness.entry_urls
             if urls:
                 host, _, port = urls[number % len(urls)][7:].rpartition(":")
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError):
@@ -83,13 +83,13 @@
         reader, writer = await asyncio.open_connection(host, port)
         try:
             while not stopping.is_set():
-                name = f"kept-{next(self.world.names)}"
+                name = f"kept-{next(self.harness.names)}"
                 body = json.dumps({"name": name}).encode()
-                seen = CallSeen("mill", "lookup", name, body, began=time.time())
-                self.world.evidence.calls.append(seen)
+                seen = CallRecord("mill", "lookup", name, body, began=time.time())
+                self.harness.observations.calls.append(seen)
                 head = (
                     f"POST /lookup HTTP/1.1\r\nHost: x\r\nX-Timeout: 5\r\n"
-                    f"Authorization: Bearer {self.world.key}\r\n"
+                    f"Authorization: Bearer {self.harness.key}\r\n"
                     f"Content-Length: {len(body)}\r\n\r\n"
                 )
                 writer.write(head.encode() + body)
@@ -104,7 +104,7 @@
             writer.transport.abort()
 
 
-async def _read_answer(reader: asyncio.StreamReader, seen: CallSeen) -> bool:
+async def _read_answer(reader: asyncio.StreamReader, seen: CallRecord) -> bool:
     """Reads one answer; gives whether the entry closes the connection after it."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     lines = head.split("\r\n")
--- a/soak/_plan.py
+++ b/soak/_plan.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class FaultStep:
     """One fault or planned change.
 
     Args:
@@ -62,17 +62,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class FaultPlan:
     """What one seed plays."""
 
     seed: int
     entries: int
     engines: int
     desks: int
-    steps: tuple[Step, ...]
+    steps: tuple[FaultStep, ...]
 
 
-def make_plan(seed: int) -> Plan:
+def make_plan(seed: int) -> FaultPlan:
     """Makes the plan of a seed.
 
     Example:
@@ -84,7 +84,7 @@
     if source.random() < 0.5:
         # Half of the plans strike in bursts, so that faults overlap.
         moments = sorted(round(moment / 4) * 4 + source.random() for moment in moments)
-    return Plan(
+    return FaultPlan(
         seed,
         entries=source.randint(2, 4),
         engines=source.randint(2, 3),
@@ -93,7 +93,7 @@
     )
 
 
-def _make_step(source: random.Random, at: float) -> Step:
+def _make_step(source: random.Random, at: float) -> FaultStep:
     kind = source.choice(list(KINDS))
     _, longest = KINDS[kind]
     variants = {
@@ -101,7 +101,7 @@
         "worker_fault": WORKER_FAULTS,
         "link_silence": ("to_target", "from_target"),
     }.get(kind, ("",))
-    return Step(
+    return FaultStep(
         round(at, 3),
         kind,
         source.randrange(12),
--- a/soak/_play.py
+++ b/soak/_runner.py
@@ -9,9 +9,9 @@
 from soak._checks import check, check_recovery
 from soak._deployment import SoakDeployment
 from soak._load import Load
-from soak._plan import DURATION, Plan
+from soak._plan import DURATION, FaultPlan
 from soak._steps import DESK_FLAGS, ENGINE_FLAGS, StepRunner
-from tests.support import World
+from tests.harness import DeploymentHarness
 
 STORE_RETENTION = 20.0  # seconds
 
@@ -28,7 +28,7 @@
     steps: list[str] = field(default_factory=list)
 
 
-def play(plan: Plan) -> Outcome:
+def play(plan: FaultPlan) -> Outcome:
     """Plays a plan; every process has ended when this returns.
 
     Args:
@@ -39,7 +39,7 @@
     """
     started = time.monotonic()
     outcome = Outcome(plan.seed)
-    world = World(
+    harness = DeploymentHarness(
         engines=plan.engines,
         services=plan.desks,
         entries=0,
@@ -48,29 +48,29 @@
         entry_settings={"stop_grace": 8},
         store_flags={"retention": STORE_RETENTION},
     )
-    with world:
-        outcome.problems, outcome.steps = run_plan(world, plan)
-    calls = world.evidence.calls
+    with harness:
+        outcome.problems, outcome.steps = run_plan(harness, plan)
+    calls = harness.observations.calls
     outcome.calls = dict(Counter(call.code or str(call.status) for call in calls))
-    outcome.samples = len(world.evidence.samples)
+    outcome.samples = len(harness.observations.samples)
     outcome.seconds = time.monotonic() - started
     return outcome
 
 
 def run_plan(
-    world: World, plan: Plan, *, seconds: float = DURATION
+    harness: DeploymentHarness, plan: FaultPlan, *, seconds: float = DURATION
 ) -> tuple[list[str], list[str]]:
     """Plays a plan under load on a world that stands.
 
     Args:
-        world: The store and workers, started.
+        harness: The store and workers, started.
         plan: What happens.
         seconds: Seconds of load before all is healed.
 
     Returns:
         What was seen to be wrong, and the steps.
     """
-    deployment = SoakDeployment(world, plan)
+    deployment = SoakDeployment(harness, plan)
     steps = StepRunner(deployment, seconds)
     with deployment.stack:
         deployment.start()
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -16,15 +16,15 @@
 
 from buckthornstile.configuration import (
     Account,
+    ApiKey,
     ConfigurationChange,
     ConfigurationItem,
-    ItemName,
-    Key,
+    ItemReference,
     encode_change,
-    hash_key,
+    hash_api_key,
 )
 from buckthornstile.platform import CONFIGURATION_TOPIC
-from standins.launch import Bench, BenchProcess
+from standins.process import ManagedProcess, ProcessManager
 
 WAIT_SECONDS = 20.0
 POLL_SECONDS = 0.05
@@ -53,25 +53,27 @@
     ) -> None:
         self.entry_settings = {**ENTRY_SETTINGS, **(entry_settings or {})}
         self.store_flags = store_flags or {}
-        self.workers: dict[str, BenchProcess] = {}
-        self.entries: dict[str, BenchProcess] = {}
+        self.workers: dict[str, ManagedProcess] = {}
+        self.entries: dict[str, ManagedProcess] = {}
         self._addresses = 1
         self._revision = 0
 
     def __enter__(self) -> Self:
-        self.bench = Bench()
-        self.bench.__enter__()
+        self.process_manager = ProcessManager()
+        self.process_manager.__enter__()
         try:
-            self.store = self.bench.start("standins.store", **self.store_flags)
+            self.store = self.process_manager.start(
+                "standins.store", **self.store_flags
+            )
         except BaseException:
-            self.bench.__exit__(None, None, None)
+            self.process_manager.__exit__(None, None, None)
             raise
         return self
 
     def __exit__(self, *exception: object) -> None:
         if exception == (None, None, None):
             self.stop_entries()
-        self.bench.__exit__(*exception)
+        self.process_manager.__exit__(*exception)
 
     def stop_entries(self) -> list[int]:
         """Stops the entries while the store still takes their last records.
@@ -81,10 +83,10 @@
         """
         running = [entry for entry in self.entries.values() if entry.is_running]
         for entry in running:
-            entry.ask_to_stop()
+            entry.terminate()
         return [entry.stop() for entry in running]
 
-    def take_address(self) -> str:
+    def allocate_address(self) -> str:
         """Gives the next loopback address, one that no other process here uses.
 
         An entry that starts again at its port must not find it taken by another
@@ -98,18 +100,18 @@
 
     def add_engine(
         self, name: str, domain: str, service: str, *, model: str = "llm", **flags: Any
-    ) -> BenchProcess:
+    ) -> ManagedProcess:
         """Starts a model engine."""
         return self.add_worker(name, domain, service, models=model, **flags)
 
     def add_worker(
         self, name: str, domain: str, service: str, **flags: Any
-    ) -> BenchProcess:
+    ) -> ManagedProcess:
         """Starts a worker, which registers itself in the store."""
-        worker = self.workers[name] = self.bench.start(
+        worker = self.workers[name] = self.process_manager.start(
             "standins.worker",
             worker_name=name,
-            address=self.take_address(),
+            address=self.allocate_address(),
             service=service,
             zone=domain,
             **{"store": self.store.url, **flags},
@@ -121,13 +123,13 @@
         name: str,
         domain: str,
         *,
-        instead_of: BenchProcess | None = None,
+        instead_of: ManagedProcess | None = None,
         **settings: Any,
-    ) -> BenchProcess:
+    ) -> ManagedProcess:
         """Starts an entry, at an address of its own or at that of an earlier one."""
         port = 0
         if instead_of is None:
-            address = self.take_address()
+            address = self.allocate_address()
         else:
             address, port = instead_of.address, instead_of.port
         store = self.store.url.removeprefix("http://")
@@ -139,7 +141,7 @@
             "store_address": store,
             "duty_address": store,
         }
-        entry = self.entries[name] = self.bench.start(
+        entry = self.entries[name] = self.process_manager.start(
             "buckthornstile",
             "entry",
             name=name,
@@ -154,8 +156,8 @@
         """The addresses of the running entries."""
         return [entry.url for entry in self.entries.values() if entry.is_running]
 
-    def call_entry(
-        self, entry: BenchProcess, key: str, path: str, fields: dict[str, Any]
+    def send_request(
+        self, entry: ManagedProcess, key: str, path: str, fields: dict[str, Any]
     ) -> tuple[int, bytes]:
         """Makes one call through an entry, with a prompt if none is given.
 
@@ -175,7 +177,9 @@
 
     # Configuration
 
-    def change(self, *put: ConfigurationItem, remove: Iterable[ItemName] = ()) -> int:
+    def change(
+        self, *put: ConfigurationItem, remove: Iterable[ItemReference] = ()
+    ) -> int:
         """Appends a configuration change to the store.
 
         Returns:
@@ -205,14 +209,14 @@
         ) as answer:
             answer.read()
 
-    def make_account(self, name: str, **fields: Any) -> tuple[str, list[Any]]:
+    def create_account(self, name: str, **fields: Any) -> tuple[str, list[Any]]:
         """Makes a client account with one key.
 
         Returns:
             The key in clear, and the items to put.
         """
         clear = f"bk_{secrets.token_urlsafe(24)}"
-        key = Key(name=f"{name}-key", account=name, digest=hash_key(clear))
+        key = ApiKey(name=f"{name}-key", account=name, digest=hash_api_key(clear))
         return clear, [Account(name=name, **fields), key]
 
     # Waiting
@@ -243,7 +247,7 @@
         """Reads an entry's status."""
         return self.entries[entry].call("GET", "/v1/status")
 
-    def wait_ready(self, *, revision: int | None = None) -> None:
+    def wait_until_ready(self, *, revision: int | None = None) -> None:
         """Waits until every entry knows a revision, all workers and all entries."""
         wanted = self._revision if revision is None else revision
         for name in self.entries:
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -24,14 +24,14 @@
     count: int | None = None
 
 
-class FaultTable:
+class FaultInjector:
     """The faults that are on.
 
     Args:
         actions: Kinds that strike once, when they are added.
 
     Example:
-        >>> table = FaultTable()
+        >>> table = FaultInjector()
         >>> table.add({"kind": "down", "target": "log", "count": 1})
         >>> table.take("down", "log").kind, table.take("down", "log")
         ('down', None)
--- a/standins/launch.py
+++ b/standins/process.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class BenchProcess:
+class ManagedProcess:
     """One process of the bench.
 
     Args:
@@ -28,7 +28,7 @@
         ready: The JSON line that it printed at its start.
         log_path: Where its error output goes.
         address: The IP number that it listens on.
-        asked_to_stop: Whether it was sent SIGTERM.
+        stop_requested: Whether it was sent SIGTERM.
     """
 
     name: str
@@ -36,7 +36,7 @@
     ready: dict[str, Any]
     log_path: Path
     address: str = "127.0.0.1"
-    asked_to_stop: bool = False
+    stop_requested: bool = False
 
     @property
     def output_path(self) -> Path:
@@ -75,17 +75,17 @@
         self.process.kill()
         self.process.wait()
 
-    def ask_to_stop(self) -> None:
+    def terminate(self) -> None:
         """Sends SIGTERM, once: a second one may strike as it shuts down."""
-        if self.asked_to_stop or not self.is_running:
+        if self.stop_requested or not self.is_running:
             return
-        self.asked_to_stop = True
+        self.stop_requested = True
         self.send_signal(signal.SIGCONT)
         self.send_signal(signal.SIGTERM)
 
     def stop(self, *, timeout: float = STOP_TIMEOUT) -> int:
         """Asks it to end, kills it after a while, and gives its exit status."""
-        self.ask_to_stop()
+        self.terminate()
         try:
             return self.process.wait(timeout)
         except subprocess.TimeoutExpired:
@@ -126,22 +126,22 @@
         return [line for line in found if event in ("", line.get("event"))]
 
 
-class Bench:
+class ProcessManager:
     """Starts processes and ends all that it started.
 
     Args:
         environment: Variables to set besides those of this process.
 
     Example:
-        >>> with Bench() as bench:
-        ...     store = bench.start("standins.store")
+        >>> with ProcessManager() as process_manager:
+        ...     store = process_manager.start("standins.store")
         ...     store.read_journal()
         []
     """
 
     def __init__(self, *, environment: dict[str, str] | None = None) -> None:
         self.environment = environment
-        self.processes: list[BenchProcess] = []
+        self.processes: list[ManagedProcess] = []
 
     def __enter__(self) -> Self:
         self._folder = tempfile.TemporaryDirectory(prefix="bench-")
@@ -162,7 +162,7 @@
         is_standin: bool = True,
         worker_name: str = "",
         **flags: Any,
-    ) -> BenchProcess:
+    ) -> ManagedProcess:
         """Starts ``python -m module`` and waits until it is ready.
 
         Args:
@@ -198,7 +198,7 @@
                 stdin=subprocess.DEVNULL,
                 env={**os.environ, **(self.environment or {})},
             )
-        started = BenchProcess(name, process, {}, log_path, address)
+        started = ManagedProcess(name, process, {}, log_path, address)
         self.processes.append(started)
         started.ready = self._read_ready(started, timeout)
         return started
@@ -206,12 +206,12 @@
     def stop_all(self) -> None:
         """Asks all to end at once, then waits for each."""
         for process in self.processes:
-            process.ask_to_stop()
+            process.terminate()
         for process in self.processes:
             process.stop()
         self.processes.clear()
 
-    def _read_ready(self, started: BenchProcess, timeout: float) -> dict[str, Any]:
+    def _read_ready(self, started: ManagedProcess, timeout: float) -> dict[str, Any]:
         line = _read_line(started, timeout)
         try:
             ready = json.loads(line)
@@ -226,7 +226,7 @@
         )
 
 
-def _read_line(started: BenchProcess, timeout: float) -> bytes:
+def _read_line(started: ManagedProcess, timeout: float) -> bytes:
     """Reads the first line of a process's output."""
     deadline = time.monotonic() + timeout
     while time.monotonic() < deadline:
--- a/standins/server.py
+++ b/standins/server.py
@@ -12,7 +12,7 @@
 from tornado import httpserver, netutil, web
 from tornado.http1connection import HTTP1Connection
 
-from standins.faults import FaultTable
+from standins.faults import FaultInjector
 
 MAX_JOURNAL_ENTRIES = 200_000
 MAX_BODY_BYTES = 64 << 20
@@ -43,7 +43,7 @@
 class FaultHandler(web.RequestHandler):
     """Switches faults on and off."""
 
-    def initialize(self, faults: FaultTable) -> None:
+    def initialize(self, faults: FaultInjector) -> None:
         """Stores the fault table."""
         self.faults = faults
 
@@ -73,7 +73,7 @@
 
 
 def make_control_routes(
-    faults: FaultTable, journal: Journal
+    faults: FaultInjector, journal: Journal
 ) -> list[tuple[str, type[web.RequestHandler], dict[str, Any]]]:
     """Makes the control routes that every stand-in has."""
     return [
--- a/standins/store/_application.py
+++ b/standins/store/_application.py
@@ -8,9 +8,9 @@
 
 from tornado import web
 
-from standins.faults import FaultTable
+from standins.faults import FaultInjector
 from standins.server import Journal, drop_connection, make_control_routes
-from standins.store._log import Refused, StoreLog, split_records
+from standins.store._topics import AppendRejectedError, TopicStore, split_records
 
 READ_HEAD = struct.Struct(">QQ")
 POLL = 0.01  # seconds between two looks of a read that waits
@@ -30,7 +30,9 @@
 
     target = ""
 
-    def initialize(self, log: StoreLog, faults: FaultTable, journal: Journal) -> None:
+    def initialize(
+        self, log: TopicStore, faults: FaultInjector, journal: Journal
+    ) -> None:
         """Stores what the handlers share."""
         self.log = log
         self.faults = faults
@@ -90,7 +92,7 @@
                 epoch=int(self.get_argument("epoch", "0")),
                 sequence=int(self.get_argument("sequence", "0")),
             )
-        except Refused as refused:
+        except AppendRejectedError as refused:
             return refused.status, refused.fields
         # Only what checkers look for: progress and presence would fill the journal.
         if topic in SHOWN_TOPICS:
@@ -192,7 +194,7 @@
     Returns:
         The application; its ``log`` attribute is what tests may look into.
     """
-    log, faults, journal = StoreLog(retention=retention), FaultTable(), Journal()
+    log, faults, journal = TopicStore(retention=retention), FaultInjector(), Journal()
     shared = {"log": log, "faults": faults, "journal": journal}
     application = web.Application(
         [
--- a/standins/store/_log.py
+++ b/standins/store/_topics.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Refused(Exception):
+class AppendRejectedError(Exception):
     """An append whose condition does not hold."""
 
     status: int
@@ -63,15 +63,15 @@
         """Appends records, all or none, and gives the first offset.
 
         Raises:
-            Refused: The end, epoch or sequence is not the one named.
+            AppendRejectedError: The end, epoch or sequence is not the one named.
         """
         if at is not None and at != self.end:
-            raise Refused(412, {"end": self.end})
+            raise AppendRejectedError(412, {"end": self.end})
         state = None
         if producer is not None:
             state = self.producers.setdefault(producer, ProducerState(epoch))
             if epoch < state.epoch:
-                raise Refused(409, {"why": "fenced"})
+                raise AppendRejectedError(409, {"why": "fenced"})
             if epoch > state.epoch:
                 state = self.producers[producer] = ProducerState(epoch)
             for known, offset in state.answers:
@@ -79,7 +79,7 @@
                     return offset
             expected = sequence if state.sequence is None else state.sequence + 1
             if records and sequence != expected:
-                raise Refused(409, {"why": "seq", "sequence": expected})
+                raise AppendRejectedError(409, {"why": "seq", "sequence": expected})
         offset = self.end
         for record in records:
             self._add(record)
@@ -111,7 +111,7 @@
             self.first = before
 
 
-class StoreLog:
+class TopicStore:
     """All topics.
 
     Args:
--- a/standins/relay.py
+++ b/standins/tcp_proxy.py
@@ -12,7 +12,7 @@
 FROM_TARGET = "from_target"
 
 
-class Relay:
+class FaultyProxy:
     """Passes bytes between its callers and one target, until it is told to cut.
 
     It runs in a thread of its own, so that a blocked test does not hold it up.
@@ -24,13 +24,13 @@
 
     Attributes:
         port: The TCP port that it listens on.
-        cuts: How often a connection was cut at a byte.
+        disconnect_count: How often a connection was cut at a byte.
         passed: Bytes passed on, by direction.
         delay_seconds: Seconds for which each part is held back.
-        silenced: Directions in which nothing arrives; what is sent waits.
+        blocked_directions: Directions in which nothing arrives; what is sent waits.
 
     Example:
-        >>> with Relay("127.0.0.1", 9) as relay:
+        >>> with FaultyProxy("127.0.0.1", 9) as relay:
         ...     relay.port > 0
         True
     """
@@ -42,11 +42,11 @@
         self.target_port = target_port
         self.address = address
         self.port = 0
-        self.cuts = 0
+        self.disconnect_count = 0
         self.passed = {TO_TARGET: 0, FROM_TARGET: 0}
         self._is_open = True
         self.delay_seconds = 0.0
-        self.silenced: frozenset[str] = frozenset()
+        self.blocked_directions: frozenset[str] = frozenset()
         self._left: dict[str, int] = {}
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -77,14 +77,14 @@
         """Lets connections through again, at once and both ways."""
         self._is_open = True
         self.delay_seconds = 0.0
-        self.silenced = frozenset()
+        self.blocked_directions = frozenset()
 
     def reset(self) -> None:
         """Resets the connections that are open; new ones go through."""
         self._run(self._cut())
         self._is_open = True
 
-    def cut_after(self, count: int, direction: str) -> None:
+    def disconnect_after(self, count: int, direction: str) -> None:
         """Cuts one connection after so many more bytes in a direction."""
         self._left[direction] = count
 
@@ -153,13 +153,13 @@
                     self._left[direction] = left - len(data)
                 if self.delay_seconds:
                     await asyncio.sleep(self.delay_seconds)
-                while direction in self.silenced:
+                while direction in self.blocked_directions:
                     await asyncio.sleep(SILENCE_POLL)
                 writer.write(data)
                 await writer.drain()
                 self.passed[direction] += len(data)
                 if cut_here:
-                    self.cuts += 1
+                    self.disconnect_count += 1
                     break
         # The bytes before the cut still arrive; those after it do not.
         writer.close()
--- a/standins/tests/test_standins.py
+++ b/standins/tests/test_standins.py
@@ -9,10 +9,10 @@
 from tornado.httpclient import AsyncHTTPClient
 from tornado.simple_httpclient import HTTPStreamClosedError
 
-from standins.launch import Bench
+from standins.process import ProcessManager
 from standins.server import listen
-from standins.store import make_application as make_store
-from standins.worker import WorkerState, make_tokens
+from standins.store import make_application as make_store_client
+from standins.worker import WorkerState, generate_tokens
 from standins.worker import make_application as make_worker
 
 PROMPT = "set the teeth of a ripping blade"
@@ -65,7 +65,7 @@
         return whole, rest, await read_journal(url, "run")
 
     whole, rest, runs = asyncio.run(go())
-    wanted = make_tokens(PROMPT, 3, 8)
+    wanted = generate_tokens(PROMPT, 3, 8)
     assert read_tokens(whole) == wanted
     assert read_tokens(rest) == wanted[5:]
     assert [run["versions"] for run in runs] == [[4] * 8, [4] * 3]
@@ -134,7 +134,7 @@
 
 def test_a_lost_answer_takes_effect_and_a_refusal_does_not():
     async def go():
-        application = make_store()
+        application = make_store_client()
         url = serve(application)
         await add_fault(url, kind="busy", target="append", count=1)
         refused = await call(url, "POST", APPEND, pack(b"one"))
@@ -148,7 +148,7 @@
 
 def test_conditions_and_producers_are_checked():
     async def go():
-        url = serve(make_store())
+        url = serve(make_store_client())
         codes = []
         for query in (
             "&at=0",
@@ -175,9 +175,9 @@
 
 
 def test_a_worker_registers_drains_and_leaves():
-    with Bench() as bench:
-        store = bench.start("standins.store")
-        worker = bench.start(
+    with ProcessManager() as process_manager:
+        store = process_manager.start("standins.store")
+        worker = process_manager.start(
             "standins.worker",
             worker_name="w1",
             service="desk",
@@ -197,6 +197,6 @@
             return False
 
         assert wait_for(lambda items: len(items) == 1)
-        worker.ask_to_stop()
+        worker.terminate()
         assert wait_for(lambda items: not items)
         assert worker.stop() == 0
--- a/standins/worker/_application.py
+++ b/standins/worker/_application.py
@@ -7,14 +7,14 @@
 
 from tornado import web
 
-from standins.faults import FaultTable
+from standins.faults import FaultInjector
 from standins.server import (
     Journal,
     drop_connection,
     make_control_routes,
     send_at_once,
 )
-from standins.worker._texts import make_token, read_prompt
+from standins.worker._tokens import make_token, read_prompt
 
 LOAD_SECONDS = 0.05
 
@@ -48,7 +48,7 @@
     """
 
     def initialize(
-        self, state: WorkerState, faults: FaultTable, journal: Journal
+        self, state: WorkerState, faults: FaultInjector, journal: Journal
     ) -> None:
         """Stores what the handlers share."""
         self.state = state
@@ -241,7 +241,7 @@
 
 def make_application(state: WorkerState) -> web.Application:
     """Makes a worker's stand-in."""
-    faults, journal = FaultTable(), Journal()
+    faults, journal = FaultInjector(), Journal()
     shared = {"state": state, "faults": faults, "journal": journal}
     application = web.Application(
         [
--- a/standins/worker/_registration.py
+++ b/standins/worker/_registration.py
@@ -44,7 +44,7 @@
         self.service = service
         self.zone = zone
         self.heartbeat = heartbeat
-        self.born = int(time.time() * 1000)
+        self.started_at_ms = int(time.time() * 1000)
         self.cold_until = time.monotonic() + cold_seconds
         self.is_draining = False
         self._beats = 0
@@ -78,7 +78,7 @@
             "state": "draining" if self.is_draining else "ready",
             "coldRemainingMs": int(cold * 1000),
             "sequence": self._beats,
-            "born": self.born,
+            "born": self.started_at_ms,
             "models": [
                 {"name": name, "version": version, "adapters": []}
                 for name, version in versions
--- a/standins/worker/_texts.py
+++ b/standins/worker/_tokens.py
@@ -18,7 +18,7 @@
     return hashlib.blake2b(text).hexdigest()[:TOKEN_LENGTH]
 
 
-def make_tokens(prompt: str, seed: int, count: int) -> list[str]:
+def generate_tokens(prompt: str, seed: int, count: int) -> list[str]:
     """Makes all tokens of the answer to a prompt."""
     return [make_token(prompt, seed, index) for index in range(count)]
 
--- a/tests/support.py
+++ b/tests/harness.py
@@ -20,17 +20,17 @@
 from buckthornstile.configuration import Drain, Rule
 from buckthornstile.samples import GroupSpecification, LotSpecification
 from standins.deployment import Deployment
-from tests.checker import CallSeen, Evidence, SampleSeen, check_all
+from tests.invariants import CallRecord, Observations, SampleRecord, check_invariants
 
-MODELS = "geometry-models"
-MODEL = "llm"
-DESK = "shop-desk"
-SECONDS_TO_STOP = 5.0  # after withdrawal, drain or notice: the users' bound
-SETTLE = 20.0  # seconds for anything to settle on a busy machine
-PATIENT = SessionPolicy(silence_timeout=3.0)
+MODEL_SERVICE = "geometry-models"
+MODEL_NAME = "llm"
+PLAIN_SERVICE = "shop-desk"
+PROPAGATION_LIMIT = 5.0  # after withdrawal, drain or notice: the users' bound
+SETTLE_TIMEOUT = 20.0  # seconds for anything to settle on a busy machine
+SESSION_POLICY = SessionPolicy(silence_timeout=3.0)
 
 
-class World(Deployment):
+class DeploymentHarness(Deployment):
     """A small deployment with rules, one account and one key.
 
     Args:
@@ -57,11 +57,11 @@
         super().__init__(entry_settings=entry_settings, store_flags=store_flags)
         self.counts = (engines, services, entries)
         self.flags = (engine_flags or {}, service_flags or {})
-        self.evidence = Evidence()
+        self.observations = Observations()
         self.names = itertools.count()
         self.tasks: set[asyncio.Task[Any]] = set()
 
-    def __enter__(self) -> "World":
+    def __enter__(self) -> "DeploymentHarness":
         super().__enter__()
         try:
             self._start_all()
@@ -79,15 +79,19 @@
                     self.add_engine,
                     f"engine-{n}",
                     domains[n],
-                    MODELS,
-                    model=MODEL,
+                    MODEL_SERVICE,
+                    model=MODEL_NAME,
                     **self.flags[0],
                 )
                 for n in range(engines)
             ]
             started += [
                 pool.submit(
-                    self.add_worker, f"desk-{n}", domains[n], DESK, **self.flags[1]
+                    self.add_worker,
+                    f"desk-{n}",
+                    domains[n],
+                    PLAIN_SERVICE,
+                    **self.flags[1],
                 )
                 for n in range(services)
             ]
@@ -98,14 +102,14 @@
         for future in started:
             future.result()
         self.entries = dict(sorted(self.entries.items()))
-        self.key, items = self.make_account("mill", weight=1.0)
-        self.evidence.keys.append(self.key)
+        self.key, items = self.create_account("mill", weight=1.0)
+        self.observations.keys.append(self.key)
         self.change(*items, *make_rules())
-        self.wait_ready()
+        self.wait_until_ready()
 
     def __exit__(self, *exception: object) -> None:
         # Planned stops have tests of their own; here they would only take time.
-        for process in self.bench.processes:
+        for process in self.process_manager.processes:
             if process.is_running:
                 process.process.kill()
         super().__exit__(*exception)
@@ -114,29 +118,33 @@
 
     def keep_journal(self, name: str) -> None:
         """Reads a worker's journal before it is lost."""
-        self.evidence.upstreams[name] = self.workers[name].read_journal()
+        self.observations.upstreams[name] = self.workers[name].read_journal()
 
     def kill_worker(self, name: str) -> None:
         """Kills a worker, and its journal with it."""
-        self.evidence.lost_journals.add(name)
+        self.observations.lost_journals.add(name)
         self.workers[name].kill()
 
-    def collect(self) -> Evidence:
+    def collect(self) -> Observations:
         """Reads all journals that are left."""
         for name, process in self.workers.items():
             if process.is_running:
                 self.keep_journal(name)
-        self.evidence.platform = self.store.read_journal()
-        return self.evidence
+        self.observations.platform = self.store.read_journal()
+        return self.observations
 
-    def check(self) -> Evidence:
+    def check(self) -> Observations:
         """Checks every promise that holds whatever the fault."""
-        evidence = self.collect()
-        check_all(evidence)
-        return evidence
+        observations = self.collect()
+        check_invariants(observations)
+        return observations
 
     async def until(
-        self, condition: Callable[[], bool], what: str, *, seconds: float = SETTLE
+        self,
+        condition: Callable[[], bool],
+        what: str,
+        *,
+        seconds: float = SETTLE_TIMEOUT,
     ) -> float:
         """Waits for a condition while callers go on."""
         return await asyncio.to_thread(self.wait_for, condition, what, seconds=seconds)
@@ -145,10 +153,10 @@
         """Reads what an entry knows of the lease."""
         return self.read_status(entry)["control"]
 
-    def find_holder(self, *, besides: str = "") -> str:
+    def find_holder(self, *, exclude: str = "") -> str:
         """Finds the entry that holds the lease, or an empty name."""
         for name, process in self.entries.items():
-            is_asked = process.is_running and name != besides
+            is_asked = process.is_running and name != exclude
             if is_asked and self.read_control(name)["is_holder"]:
                 return name
         return ""
@@ -209,18 +217,20 @@
         padding: int = 0,
         account: str = "mill",
         path: str = "/orders",
-    ) -> CallSeen:
+    ) -> CallRecord:
         """Sends an order, which must not run twice."""
         name = f"order-{next(self.names)}"
         body = json.dumps({"name": name, "padding": "x" * padding}).encode()
-        seen = CallSeen(account, "order", name, body)
+        seen = CallRecord(account, "order", name, body)
         return await self._see(seen, caller.call(path, body, timeout=timeout))
 
-    async def look_up(self, caller: CallerClient, *, timeout: float = 30.0) -> CallSeen:
+    async def look_up(
+        self, caller: CallerClient, *, timeout: float = 30.0
+    ) -> CallRecord:
         """Sends a lookup, which may run twice."""
         name = f"lookup-{next(self.names)}"
         body = json.dumps({"name": name}).encode()
-        seen = CallSeen("mill", "lookup", name, body)
+        seen = CallRecord("mill", "lookup", name, body)
         call = caller.call("/lookup", body, idempotent=True, timeout=timeout)
         return await self._see(seen, call)
 
@@ -231,12 +241,12 @@
         tokens: int = 50,
         stream: bool = False,
         timeout: float = 30.0,
-    ) -> CallSeen:
+    ) -> CallRecord:
         """Completes a prompt of its own, streamed or whole."""
         name = f"prompt {next(self.names)}"
         request = {"prompt": name, "max_tokens": tokens, "seed": 7, "stream": stream}
         body = json.dumps(request).encode()
-        seen = CallSeen("mill", "completion", name, body)
+        seen = CallRecord("mill", "completion", name, body)
         path = "/v1/completions"
         if stream:
             events = caller.stream(path, body, idempotent=True, timeout=timeout)
@@ -244,9 +254,9 @@
         call = caller.call(path, body, idempotent=True, timeout=timeout)
         return await self._see(seen, call)
 
-    async def _see(self, seen: CallSeen, call: Awaitable[Any]) -> CallSeen:
+    async def _see(self, seen: CallRecord, call: Awaitable[Any]) -> CallRecord:
         seen.began = time.time()
-        self.evidence.calls.append(seen)
+        self.observations.calls.append(seen)
         try:
             answer = await call
             seen.status, seen.answer = answer.status, answer.body
@@ -256,10 +266,10 @@
         return seen
 
     async def _see_stream(
-        self, seen: CallSeen, events: AsyncIterator[bytes]
-    ) -> CallSeen:
+        self, seen: CallRecord, events: AsyncIterator[bytes]
+    ) -> CallRecord:
         seen.began = time.time()
-        self.evidence.calls.append(seen)
+        self.observations.calls.append(seen)
         received: list[bytes] = []
         seen.answer = received
         try:
@@ -273,10 +283,10 @@
 
     @contextlib.asynccontextmanager
     async def load(
-        self, call: Callable[[], Awaitable[CallSeen]], *, clients: int = 4
-    ) -> AsyncIterator[list[CallSeen]]:
+        self, call: Callable[[], Awaitable[CallRecord]], *, clients: int = 4
+    ) -> AsyncIterator[list[CallRecord]]:
         """Calls again and again while the block runs; gives what has ended."""
-        ended: list[CallSeen] = []
+        ended: list[CallRecord] = []
         stopping = False
 
         async def loop() -> None:
@@ -296,7 +306,7 @@
     def make_trainer(self, entries: list[str] | None = None) -> TrainerClient:
         """Makes a trainer's client."""
         urls = entries or self.entry_urls
-        return TrainerClient(urls, self.key, "geometry", policy=PATIENT)
+        return TrainerClient(urls, self.key, "geometry", policy=SESSION_POLICY)
 
     async def run_lot(
         self,
@@ -304,13 +314,13 @@
         specification: LotSpecification,
         *,
         get_version: Callable[[], int] = lambda: 1,
-    ) -> list[SampleSeen]:
+    ) -> list[SampleRecord]:
         """Runs a lot, and keeps each sample as it comes."""
         seen = []
         async for sample in trainer.run_lot(specification):
             group = specification.groups[sample.slot.group]
             labels = [(r.first, r.last, r.version) for r in sample.labels]
-            one = SampleSeen(
+            one = SampleRecord(
                 "mill",
                 specification.lot,
                 (sample.slot.group, sample.slot.index),
@@ -323,7 +333,7 @@
                 specification.maximum_age,
             )
             seen.append(one)
-            self.evidence.samples.append(one)
+            self.observations.samples.append(one)
         await trainer.close()
         return seen
 
@@ -333,19 +343,19 @@
     yield Rule(
         name="completions",
         path="/v1/completions",
-        service=MODELS,
+        service=MODEL_SERVICE,
         idempotent=True,
         maximum_age=2,
     )
-    yield Rule(name="orders", path="/orders", service=DESK, idempotent=False)
+    yield Rule(name="orders", path="/orders", service=PLAIN_SERVICE, idempotent=False)
     yield Rule(
         name="private",
         path="/private",
         account="mill",
-        service=DESK,
+        service=PLAIN_SERVICE,
         idempotent=False,
     )
-    yield Rule(name="lookup", path="/lookup", service=DESK, idempotent=True)
+    yield Rule(name="lookup", path="/lookup", service=PLAIN_SERVICE, idempotent=True)
 
 
 def make_lot(
--- a/tests/checker.py
+++ b/tests/invariants.py
@@ -13,13 +13,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from standins.worker import make_tokens
+from standins.worker import generate_tokens
 
 RAN_STATUS = 200
 
 
 @dataclass(slots=True)
-class CallSeen:
+class CallRecord:
     """One call, as its caller saw it.
 
     Args:
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True)
-class SampleSeen:
+class SampleRecord:
     """One sample, as its trainer saw it.
 
     Args:
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True)
-class Evidence:
+class Observations:
     """All that was seen from outside.
 
     Args:
@@ -90,8 +90,8 @@
     """
 
     keys: list[str] = field(default_factory=list)
-    calls: list[CallSeen] = field(default_factory=list)
-    samples: list[SampleSeen] = field(default_factory=list)
+    calls: list[CallRecord] = field(default_factory=list)
+    samples: list[SampleRecord] = field(default_factory=list)
     upstreams: dict[str, list[dict[str, Any]]] = field(default_factory=dict)
     platform: list[dict[str, Any]] = field(default_factory=list)
     lost_journals: set[str] = field(default_factory=set)
@@ -102,66 +102,68 @@
         return [e for journal in journals for e in journal if e["what"] == what]
 
 
-def check_all(evidence: Evidence) -> None:
+def check_invariants(observations: Observations) -> None:
     """Checks every promise that holds whatever the fault."""
-    check_no_key_upstream(evidence)
-    check_orders(evidence)
-    check_answers(evidence)
-    check_samples(evidence)
-    check_one_in_charge(evidence)
-    check_windows(evidence)
+    check_no_key_leak(observations)
+    check_at_most_once(observations)
+    check_responses(observations)
+    check_samples(observations)
+    check_single_lease_holder(observations)
+    check_windows(observations)
 
 
-def check_no_key_upstream(evidence: Evidence) -> None:
+def check_no_key_leak(observations: Observations) -> None:
     """No upstream saw a key, in clear or hashed, in header, path or body."""
-    digests = [hashlib.sha256(key.encode()).hexdigest() for key in evidence.keys]
-    for name, journal in evidence.upstreams.items():
+    digests = [hashlib.sha256(key.encode()).hexdigest() for key in observations.keys]
+    for name, journal in observations.upstreams.items():
         text = json.dumps(journal)
-        for secret in [*evidence.keys, *digests]:
+        for secret in [*observations.keys, *digests]:
             assert secret not in text, f"{name} saw a key"
         assert "authorization" not in text.lower(), f"{name} saw the header"
 
 
-def count_runs(evidence: Evidence) -> Counter[str]:
+def count_runs(observations: Observations) -> Counter[str]:
     """Counts how often each call ran, by the name in its body."""
     runs: Counter[str] = Counter()
-    for entry in evidence.list_entries("run"):
+    for entry in observations.list_entries("run"):
         body = json.loads(entry["body"] or "{}")
         runs[body.get("name") or body.get("prompt", "")] += 1
     return runs
 
 
-def check_orders(evidence: Evidence) -> None:
+def check_at_most_once(observations: Observations) -> None:
     """Each order ran at most once, and what its caller was told is true.
 
     ``not_run`` means no run, ever; an answer of 200 means one run. A verdict
     ``may_have_run`` leaves both open.
     """
-    runs = count_runs(evidence)
-    orders = {call.name for call in evidence.calls if call.kind == "order"}
+    runs = count_runs(observations)
+    orders = {call.name for call in observations.calls if call.kind == "order"}
     doubled = {name: runs[name] for name in orders if runs[name] > 1}
     assert not doubled, f"ran more than once: {doubled}"
-    for call in evidence.calls:
+    for call in observations.calls:
         if call.verdict == "not_run":
             assert runs[call.name] == 0, f"{call.name} ran despite {call.code}"
         if call.kind == "order" and call.status == RAN_STATUS:
-            is_known = runs[call.name] == 1 or bool(evidence.lost_journals)
+            is_known = runs[call.name] == 1 or bool(observations.lost_journals)
             assert is_known, f"{call.name} was answered and never ran"
 
 
-def check_answers(evidence: Evidence) -> None:
+def check_responses(observations: Observations) -> None:
     """Each 200 is the whole right answer to its own request; errors have codes."""
-    for call in evidence.calls:
+    for call in observations.calls:
         if call.status == RAN_STATUS:
             _check_answer(call)
         elif call.ended:
             assert call.code and call.verdict, f"{call.name}: an error without a code"
 
 
-def _check_answer(call: CallSeen) -> None:
+def _check_answer(call: CallRecord) -> None:
     if call.kind == "completion":
         request = json.loads(call.body)
-        wanted = make_tokens(request["prompt"], request["seed"], request["max_tokens"])
+        wanted = generate_tokens(
+            request["prompt"], request["seed"], request["max_tokens"]
+        )
         assert read_tokens(call.answer) == wanted, f"{call.name}: not its own text"
         return
     assert call.answer == b"answer to " + call.body, f"{call.name}: crossed"
@@ -174,33 +176,33 @@
     return [data.decode() for data in answer]
 
 
-def check_samples(evidence: Evidence) -> None:
+def check_samples(observations: Observations) -> None:
     """Samples came once, whole, truly labelled and young enough.
 
     The workers' journals say which version made each event of a run; runs of one
     sample are found by its prompt and seed. A sample of an engine whose journal
     was lost is checked but for its label.
     """
-    seen = Counter((s.account, s.lot, s.slot) for s in evidence.samples)
+    seen = Counter((s.account, s.lot, s.slot) for s in observations.samples)
     doubled = {slot: count for slot, count in seen.items() if count > 1}
     assert not doubled, f"delivered more than once: {doubled}"
     made: dict[tuple[str, int], list[dict[str, Any]]] = defaultdict(list)
-    for entry in evidence.list_entries("run"):
+    for entry in observations.list_entries("run"):
         body = json.loads(entry["body"] or "{}")
         if "prompt" in body:
             made[body["prompt"], body.get("seed", 0)].append(entry)
-    for sample in evidence.samples:
-        _check_sample(sample, made, bool(evidence.lost_journals))
+    for sample in observations.samples:
+        _check_sample(sample, made, bool(observations.lost_journals))
 
 
 def _check_sample(
-    sample: SampleSeen,
+    sample: SampleRecord,
     made: dict[tuple[str, int], list[dict[str, Any]]],
     journal_lost: bool,
 ) -> None:
     name = f"{sample.lot} {sample.slot}"
     tokens = sample.body["events"]
-    wanted = make_tokens(sample.prompt, sample.seed, sample.tokens)
+    wanted = generate_tokens(sample.prompt, sample.seed, sample.tokens)
     assert tokens == wanted, f"{name}: not its own text"
     assert sample.labels, f"{name}: no label"
     covered = [i for first, last, _ in sample.labels for i in range(first, last + 1)]
@@ -212,13 +214,13 @@
     assert runs or journal_lost, f"{name}: no engine made it"
     if journal_lost:
         return
-    truth = find_truth(runs)
+    truth = find_event_versions(runs)
     for first, last, version in sample.labels:
         for event in range(first, last + 1):
             assert version in truth[event], f"{name}: event {event} is not {version}"
 
 
-def find_truth(runs: list[dict[str, Any]]) -> dict[int, set[int]]:
+def find_event_versions(runs: list[dict[str, Any]]) -> dict[int, set[int]]:
     """Finds which versions made each event, over all runs of one sample."""
     truth: dict[int, set[int]] = defaultdict(set)
     for run in runs:
@@ -228,7 +230,7 @@
     return truth
 
 
-def check_one_in_charge(evidence: Evidence) -> None:
+def check_single_lease_holder(observations: Observations) -> None:
     """Orders and reports of two processes never interleave.
 
     A process whose report the platform took must have claimed the lease in the store
@@ -237,7 +239,7 @@
     """
     acted = ""
     claimed: set[str] = set()
-    for entry in evidence.platform:
+    for entry in observations.platform:
         if entry["what"] == "append" and entry["topic"] == "duties":
             claimed |= _find_claims(entry["data"])
         elif entry["what"] == "usage":
@@ -247,9 +249,9 @@
             claimed = claimed if by == acted else set()
             acted = by
             claimed.discard(by)
-    reports = [e for e in evidence.platform if e["what"] == "usage"]
+    reports = [e for e in observations.platform if e["what"] == "usage"]
     check_terms([(e["term"], e["holder"]) for e in reports])
-    for journal in evidence.upstreams.values():
+    for journal in observations.upstreams.values():
         orders = [e for e in journal if e["what"] == "order"]
         check_terms([(e["fence"], e["holder"]) for e in orders])
 
@@ -273,45 +275,49 @@
     assert not shared, f"terms of two processes: {shared}"
 
 
-def check_windows(evidence: Evidence) -> None:
+def check_windows(observations: Observations) -> None:
     """No window was reported with two figures."""
     figures: dict[int, set[str]] = defaultdict(set)
-    for report in list_reports(evidence):
+    for report in list_reports(observations):
         figures[report["window"]].add(json.dumps(report["counts"], sort_keys=True))
     doubled = {window: texts for window, texts in figures.items() if len(texts) > 1}
     assert not doubled, f"reported with two figures: {doubled}"
 
 
-def list_reports(evidence: Evidence) -> list[dict[str, Any]]:
+def list_reports(observations: Observations) -> list[dict[str, Any]]:
     """Lists the usage reports that the platform took."""
-    return [entry["body"] for entry in evidence.platform if entry["what"] == "usage"]
+    return [
+        entry["body"] for entry in observations.platform if entry["what"] == "usage"
+    ]
 
 
-def count_reported(evidence: Evidence) -> Counter[str]:
+def count_reported(observations: Observations) -> Counter[str]:
     """Adds up the reported requests of each account, each window once."""
-    windows = {report["window"]: report["counts"] for report in list_reports(evidence)}
+    windows = {
+        report["window"]: report["counts"] for report in list_reports(observations)
+    }
     totals: Counter[str] = Counter()
     for counts in windows.values():
         totals.update(counts)
     return totals
 
 
-def count_received(evidence: Evidence) -> Counter[str]:
+def count_received(observations: Observations) -> Counter[str]:
     """Counts the whole answers and samples that each account received."""
-    totals = Counter(c.account for c in evidence.calls if c.status == RAN_STATUS)
-    totals.update(sample.account for sample in evidence.samples)
+    totals = Counter(c.account for c in observations.calls if c.status == RAN_STATUS)
+    totals.update(sample.account for sample in observations.samples)
     return totals
 
 
-def check_usage_exact(evidence: Evidence) -> None:
+def check_usage_exact(observations: Observations) -> None:
     """Reported equals received; holds where no answer was lost on its way.
 
     That is: no process was killed, no connection cut and no caller left.
     """
-    assert count_reported(evidence) == count_received(evidence)
+    assert count_reported(observations) == count_received(observations)
 
 
-def list_arrivals(evidence: Evidence, upstream: str) -> list[float]:
+def list_request_times(observations: Observations, upstream: str) -> list[float]:
     """Lists when requests arrived at a worker, in seconds since the epoch."""
-    journal = evidence.upstreams[upstream]
+    journal = observations.upstreams[upstream]
     return [entry["at"] for entry in journal if entry["what"] == "run"]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -3,7 +3,7 @@
 import asyncio
 import itertools
 
-from tests.support import DESK, World
+from tests.harness import PLAIN_SERVICE, DeploymentHarness
 
 COLD_RATE = 20.0  # requests a second
 COLD_SECONDS = 4.0
@@ -13,41 +13,41 @@
 def test_service_goes_on_while_entries_lapse():
     """Entries that ran out while the store was away are no proof of an end."""
 
-    async def scenario(world):
-        caller = world.make_caller(attempts=1)
-        async with world.load(lambda: world.look_up(caller)) as ended:
-            await world.until(lambda: len(ended) > 10, "calls run")
-            world.store.add_fault("busy", target="append")
-            for name in world.workers:
+    async def scenario(harness):
+        caller = harness.make_caller(attempts=1)
+        async with harness.load(lambda: harness.look_up(caller)) as ended:
+            await harness.until(lambda: len(ended) > 10, "calls run")
+            harness.store.add_fault("busy", target="append")
+            for name in harness.workers:
                 # The store itself removes what did not write in time.
-                world.store.call("POST", "/control/drop", {"key": name})
+                harness.store.call("POST", "/control/drop", {"key": name})
             await asyncio.sleep(1.0)
-            world.store.clear_faults()
+            harness.store.clear_faults()
             began = ended[-1].began
-            await world.until(
+            await harness.until(
                 lambda: ended[-1].began > began + 3.0, "calls go on", seconds=30
             )
         assert {call.status for call in ended} <= {200, 0}
         served = [call for call in ended if call.began > began + 2.0]
         assert {call.code for call in served} == {""}
-        world.check()
+        harness.check()
 
-    with World(services=2) as world:
-        asyncio.run(scenario(world))
+    with DeploymentHarness(services=2) as harness:
+        asyncio.run(scenario(harness))
 
 
 def test_a_cold_upstream_gets_no_more_than_it_bears():
     """The bound holds over all entries together, in any second."""
 
-    async def scenario(world):
-        caller = world.make_caller(attempts=1)
-        async with world.load(lambda: world.look_up(caller), clients=24) as ended:
-            await world.until(lambda: len(ended) > 100, "there is a load")
+    async def scenario(harness):
+        caller = harness.make_caller(attempts=1)
+        async with harness.load(lambda: harness.look_up(caller), clients=24) as ended:
+            await harness.until(lambda: len(ended) > 100, "there is a load")
             worker = await asyncio.to_thread(
-                world.add_worker,
+                harness.add_worker,
                 "desk-1",
                 "bench-b",
-                DESK,
+                PLAIN_SERVICE,
                 cold_seconds=COLD_SECONDS,
             )
             await asyncio.sleep(COLD_SECONDS - 0.5)
@@ -56,12 +56,12 @@
         assert len(starts) >= COLD_RATE, "the cold upstream was hardly tried"
         for first, later in itertools.pairwise(starts[:: int(COLD_RATE) + 1]):
             assert later - first >= 1.0, "more than it bears in one second"
-        world.check()
+        harness.check()
 
-    with World(
+    with DeploymentHarness(
         services=1,
         entries=3,
         service_flags={"work_seconds": 0.05},
         entry_settings={"cold_rate": COLD_RATE},
-    ) as world:
-        asyncio.run(scenario(world))
+    ) as harness:
+        asyncio.run(scenario(harness))
--- a/tests/test_doors.py
+++ b/tests/test_malformed_clients.py
@@ -6,7 +6,7 @@
 import secrets
 
 from buckthornstile.base import ErrorCode
-from tests.support import World
+from tests.harness import DeploymentHarness
 
 CODES = {code.value for code in ErrorCode}
 MAX_BODY_BYTES = 65536
@@ -45,14 +45,14 @@
 
 
 def test_what_comes_to_the_door_harms_nobody_else():
-    async def scenario(world):
-        entry = world.entries["entry-0"]
-        head = HEAD.format(key=world.key)
-        caller = world.make_caller(attempts=1)
+    async def scenario(harness):
+        entry = harness.entries["entry-0"]
+        head = HEAD.format(key=harness.key)
+        caller = harness.make_caller(attempts=1)
         slow = [
             await asyncio.open_connection(entry.address, entry.port) for _ in range(50)
         ]
-        async with world.load(lambda: world.order(caller)) as ended:
+        async with harness.load(lambda: harness.order(caller)) as ended:
             for _, writer in slow:
                 writer.write(head[:40].encode())
             garbage = [secrets.token_bytes(4096) for _ in range(20)]
@@ -92,43 +92,45 @@
                 for request in requests:
                     assert read_code(await send(entry, request)) == code, request[:90]
             count = len(ended)
-            await world.until(lambda: len(ended) > count + 20, "others go on")
+            await harness.until(lambda: len(ended) > count + 20, "others go on")
         for _, writer in slow:
             writer.transport.abort()
         assert {call.status for call in ended} == {200}
         assert entry.is_running
-        await world.until(
-            lambda: world.read_status("entry-0")["open_calls"] == 0, "nothing is left"
+        await harness.until(
+            lambda: harness.read_status("entry-0")["open_calls"] == 0, "nothing is left"
         )
-        assert world.key not in entry.read_log()
-        world.check()
+        assert harness.key not in entry.read_log()
+        harness.check()
 
-    with World(
+    with DeploymentHarness(
         engines=1,
         services=1,
         entries=1,
         entry_settings={"max_body_bytes": MAX_BODY_BYTES},
-    ) as world:
-        asyncio.run(scenario(world))
+    ) as harness:
+        asyncio.run(scenario(harness))
 
 
 def test_callers_who_leave_early_hold_no_place():
-    async def scenario(world):
-        entry = world.entries["entry-0"]
-        caller = world.make_caller(attempts=1)
-        request = f"{HEAD.format(key=world.key)}Content-Length: 2\r\n\r\n{{}}".encode()
-        async with world.load(lambda: world.order(caller)) as ended:
+    async def scenario(harness):
+        entry = harness.entries["entry-0"]
+        caller = harness.make_caller(attempts=1)
+        request = (
+            f"{HEAD.format(key=harness.key)}Content-Length: 2\r\n\r\n{{}}".encode()
+        )
+        async with harness.load(lambda: harness.order(caller)) as ended:
             for _ in range(10):
                 await asyncio.gather(
                     *[send(entry, request, leave=True) for _ in range(50)]
                 )
                 count = len(ended)
-                await world.until(lambda n=count: len(ended) > n + 20, "others go on")
+                await harness.until(lambda n=count: len(ended) > n + 20, "others go on")
         assert {call.status for call in ended} == {200}
-        await world.until(
-            lambda: world.read_status("entry-0")["open_calls"] == 0, "nothing is left"
+        await harness.until(
+            lambda: harness.read_status("entry-0")["open_calls"] == 0, "nothing is left"
         )
-        world.check()
+        harness.check()
 
-    with World(services=1, entries=1) as world:
-        asyncio.run(scenario(world))
+    with DeploymentHarness(services=1, entries=1) as harness:
+        asyncio.run(scenario(harness))
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from buckthornstile.commands import ExitCode
-from tests.support import World
+from tests.harness import DeploymentHarness
 
 SHEET = """kind,name,account,path,service,idempotent,maximum_age,weight
 account,mill,,,,,,{weight}
@@ -17,11 +17,11 @@
 
 
 def test_two_operators_race(tmp_path):
-    async def scenario(world):
-        before = len(await world.follow_history())
+    async def scenario(harness):
+        before = len(await harness.follow_history())
         outcomes = []
         # All read the same revision before any of their changes is in the store.
-        world.store.add_fault("slow", target="append", seconds=1.0)
+        harness.store.add_fault("slow", target="append", seconds=1.0)
         for turn in range(2):
             sheets = []
             for operator in ("ann", "ben"):
@@ -30,35 +30,35 @@
                 sheet.write_text(SHEET.format(weight=weight, other=f"{operator}{turn}"))
                 sheets.append(str(sheet))
             race = [
-                world.run_command("config", "apply", sheet, "--store_timeout=5")
+                harness.run_command("config", "apply", sheet, "--store_timeout=5")
                 for sheet in sheets
             ]
             if turn == 1:
                 race.append(
-                    world.run_command(
+                    harness.run_command(
                         "keys", "withdraw", "mill-key", "--store_timeout=5"
                     )
                 )
             outcomes += await asyncio.gather(*race)
-        world.store.clear_faults()
+        harness.store.clear_faults()
         codes = {code for code, _ in outcomes}
         assert codes <= {ExitCode.OK, ExitCode.CONFLICT}
         won = [a["revision"] for code, a in outcomes if code == 0 and a["changed"]]
         # Each accepted command has a revision of its own, and no other exists.
-        changes = await world.follow_history()
+        changes = await harness.follow_history()
         made = [change["revision"] for change in changes[before:]]
         assert sorted(won) == made == list(range(before + 1, before + 1 + len(made)))
         lost = [answer["code"] for code, answer in outcomes if code]
         assert set(lost) <= {"configuration.conflict"}
-        await check_in_force(world, changes[-1])
+        await check_in_force(harness, changes[-1])
 
-    async def check_in_force(world, last):
-        _, shown = await world.run_command("config", "show")
+    async def check_in_force(harness, last):
+        _, shown = await harness.run_command("config", "show")
         assert shown["revision"] == last["revision"]
-        for entry in world.entries:
-            await world.until(
+        for entry in harness.entries:
+            await harness.until(
                 lambda e=entry: (
-                    world.read_status(e)["configuration"]["revision"]
+                    harness.read_status(e)["configuration"]["revision"]
                     == last["revision"]
                 ),
                 "it is in force",
@@ -67,5 +67,5 @@
         keys = [item for item in shown["items"] if item["name"] == "mill-key"]
         assert keys[0]["withdrawn"] is True
 
-    with World(services=1, entries=2) as world:
-        asyncio.run(scenario(world))
+    with DeploymentHarness(services=1, entries=2) as harness:
+        asyncio.run(scenario(harness))
--- a/tests/test_samples.py
+++ b/tests/test_samples.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.support import World, make_lot
+from tests.harness import DeploymentHarness, make_lot
 
 SLOW_ENGINE = {"event_seconds": 0.005, "load_seconds": 0.05}
 FAULTS = {
@@ -23,50 +23,52 @@
 def test_labels_and_age_while_weights_change(fault):
     """Both engines load the versions that the trainer names in the middle."""
 
-    async def scenario(world):
-        trainer = world.make_trainer()
+    async def scenario(harness):
+        trainer = harness.make_trainer()
         version = 1
         lot = make_lot("lot-0", groups=8, samples=8, tokens=100, maximum_age=1)
-        add_fault(world, fault)
+        add_fault(harness, fault)
         running = asyncio.create_task(
-            world.run_lot(trainer, lot, get_version=lambda: version)
+            harness.run_lot(trainer, lot, get_version=lambda: version)
         )
         # The second step makes all that runs at its beginning too old.
         for newer in (2, 4):
-            count = len(world.evidence.samples) + 8
-            await world.until(
-                lambda n=count: len(world.evidence.samples) >= n, "samples come"
+            count = len(harness.observations.samples) + 8
+            await harness.until(
+                lambda n=count: len(harness.observations.samples) >= n, "samples come"
             )
-            add_fault(world, fault)
+            add_fault(harness, fault)
             version = newer
             await trainer.set_version(version)
         assert len(await running) == 64
-        versions = {v for s in world.evidence.samples for _, _, v in s.labels}
+        versions = {v for s in harness.observations.samples for _, _, v in s.labels}
         assert len(versions) > 1, "no sample was made by newer weights"
-        world.check()
+        harness.check()
 
-    with World(engines=2, engine_flags=SLOW_ENGINE) as world:
-        asyncio.run(scenario(world))
+    with DeploymentHarness(engines=2, engine_flags=SLOW_ENGINE) as harness:
+        asyncio.run(scenario(harness))
 
 
-def add_fault(world, fault):
-    for engine in world.workers.values():
+def add_fault(harness, fault):
+    for engine in harness.workers.values():
         if FAULTS[fault]:
             engine.add_fault(**FAULTS[fault])
 
 
 def test_a_restarted_engine_serves_what_it_says():
-    async def scenario(world):
-        trainer = world.make_trainer()
+    async def scenario(harness):
+        trainer = harness.make_trainer()
         lot = make_lot("lot-0", groups=2, samples=8, tokens=100)
-        running = asyncio.create_task(world.run_lot(trainer, lot))
-        await world.until(lambda: len(world.evidence.samples) >= 2, "samples come")
-        world.kill_worker("engine-0")
+        running = asyncio.create_task(harness.run_lot(trainer, lot))
+        await harness.until(
+            lambda: len(harness.observations.samples) >= 2, "samples come"
+        )
+        harness.kill_worker("engine-0")
         await asyncio.to_thread(
-            world.add_engine, "engine-0", "bench-a", "geometry-models", version=3
+            harness.add_engine, "engine-0", "bench-a", "geometry-models", version=3
         )
         assert len(await running) == 16
-        world.check()
+        harness.check()
 
-    with World(engines=2, engine_flags=SLOW_ENGINE) as world:
-        asyncio.run(scenario(world))
+    with DeploymentHarness(engines=2, engine_flags=SLOW_ENGINE) as harness:
+        asyncio.run(scenario(harness))
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.support import SETTLE, World, make_lot
+from tests.harness import SETTLE_TIMEOUT, DeploymentHarness, make_lot
 
 SLOW = {
     "engine_flags": {"event_seconds": 0.005, "drain_seconds": 4.0},
@@ -13,20 +13,20 @@
 }
 
 
-class Balancer:
+class RoundRobinBalancer:
     """Sends each call to the next entry that says it is ready."""
 
-    def __init__(self, world):
-        self.world = world
+    def __init__(self, harness):
+        self.harness = harness
         self.turn = 0
 
     async def choose(self):
         for _ in range(100):
             self.turn += 1
-            entries = list(self.world.entries.values())
+            entries = list(self.harness.entries.values())
             entry = entries[self.turn % len(entries)]
             if await asyncio.to_thread(is_ready, entry):
-                return self.world.make_caller(entries=[entry.url], attempts=1)
+                return self.harness.make_caller(entries=[entry.url], attempts=1)
         raise AssertionError("no entry is ready")
 
 
@@ -39,44 +39,46 @@
 
 @pytest.mark.parametrize("role", ["entry", "worker"])
 def test_a_planned_stop_cuts_no_request(role):
-    async def scenario(world):
-        balancer = Balancer(world)
+    async def scenario(harness):
+        balancer = RoundRobinBalancer(harness)
 
         async def order():
-            return await world.order(await balancer.choose())
+            return await harness.order(await balancer.choose())
 
         async def stream():
             caller = await balancer.choose()
-            return await world.complete(caller, tokens=200, stream=True)
+            return await harness.complete(caller, tokens=200, stream=True)
 
-        trainer = world.make_trainer()
+        trainer = harness.make_trainer()
         lot = make_lot("lot-0", groups=4, samples=8, tokens=200)
-        async with world.load(order) as orders, world.load(stream) as streams:
-            await world.until(
+        async with harness.load(order) as orders, harness.load(stream) as streams:
+            await harness.until(
                 lambda: len(orders) > 20 and len(streams) > 4, "calls run"
             )
             # Begun last, so that the stop comes while most of it is still to run.
-            running = asyncio.create_task(world.run_lot(trainer, lot))
-            await world.until(lambda: world.evidence.samples != [], "the lot runs")
-            stopping = [world.entries["entry-0"]]
+            running = asyncio.create_task(harness.run_lot(trainer, lot))
+            await harness.until(
+                lambda: harness.observations.samples != [], "the lot runs"
+            )
+            stopping = [harness.entries["entry-0"]]
             if role == "worker":
-                stopping = [world.workers["desk-0"], world.workers["engine-0"]]
+                stopping = [harness.workers["desk-0"], harness.workers["engine-0"]]
                 for name in ("desk-0", "engine-0"):
-                    world.evidence.lost_journals.add(name)
+                    harness.observations.lost_journals.add(name)
             for process in stopping:
-                process.ask_to_stop()
+                process.terminate()
             codes = [
-                await asyncio.to_thread(process.process.wait, SETTLE)
+                await asyncio.to_thread(process.process.wait, SETTLE_TIMEOUT)
                 for process in stopping
             ]
             assert codes == [0] * len(stopping)
             count = len(orders)
-            await world.until(lambda: len(orders) > count + 20, "orders go on")
+            await harness.until(lambda: len(orders) > count + 20, "orders go on")
         failed = [c.code for c in [*orders, *streams] if c.status != 200]
         assert not failed
         assert len(await running) == 32
         assert trainer.attach_count == (2 if role == "entry" else 1)
-        world.check()
+        harness.check()
 
-    with World(engines=2, services=2, **SLOW) as world:
-        asyncio.run(scenario(world))
+    with DeploymentHarness(engines=2, services=2, **SLOW) as harness:
+        asyncio.run(scenario(harness))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -6,8 +6,8 @@
 import pytest
 
 from buckthornstile.commands import ExitCode
-from tests.checker import check_usage_exact, count_received, count_reported
-from tests.support import World
+from tests.harness import DeploymentHarness
+from tests.invariants import check_usage_exact, count_received, count_reported
 
 OUTAGE = 2.5  # seconds; with what a busy machine adds, under the bound below
 KEY_BOUND = 5.0  # seconds, the entries' default
@@ -17,109 +17,112 @@
 def test_calls_go_on_while_the_store_fails(fault):
     """They do for as long as keys may be trusted unseen, and again afterwards."""
 
-    async def scenario(world):
-        caller = world.make_caller()
-        async with world.load(lambda: world.order(caller)) as ended:
-            await world.until(lambda: len(ended) >= 20, "orders run")
-            world.store.add_fault(fault, seconds=30)
+    async def scenario(harness):
+        caller = harness.make_caller()
+        async with harness.load(lambda: harness.order(caller)) as ended:
+            await harness.until(lambda: len(ended) >= 20, "orders run")
+            harness.store.add_fault(fault, seconds=30)
             await asyncio.sleep(OUTAGE)
-            world.store.clear_faults()
+            harness.store.clear_faults()
             count = len(ended)
-            await world.until(lambda: len(ended) >= count + 50, "orders go on")
+            await harness.until(lambda: len(ended) >= count + 50, "orders go on")
         assert count >= 50
         assert {call.code for call in ended} == {""}
-        await wait_billed(world)
-        check_usage_exact(world.check())
+        await wait_billed(harness)
+        check_usage_exact(harness.check())
 
-    with World(services=2) as world:
-        asyncio.run(scenario(world))
+    with DeploymentHarness(services=2) as harness:
+        asyncio.run(scenario(harness))
 
 
 def test_an_operator_is_told_that_the_store_fails():
-    async def scenario(world):
-        world.store.add_fault("busy")
-        code, answer = await world.run_command("drain", "bench-b")
+    async def scenario(harness):
+        harness.store.add_fault("busy")
+        code, answer = await harness.run_command("drain", "bench-b")
         assert (code, answer["ok"]) == (ExitCode.PLATFORM_UNAVAILABLE, False)
-        world.store.clear_faults()
-        assert (await world.run_command("drain", "bench-b"))[1]["changed"]
+        harness.store.clear_faults()
+        assert (await harness.run_command("drain", "bench-b"))[1]["changed"]
 
-    with World(entries=1) as world:
-        asyncio.run(scenario(world))
+    with DeploymentHarness(entries=1) as harness:
+        asyncio.run(scenario(harness))
 
 
 def test_keys_are_not_trusted_for_ever_without_the_store():
-    async def scenario(world):
-        caller = world.make_caller(attempts=1)
-        world.store.add_fault("busy")
-        async with world.load(lambda: world.look_up(caller)) as ended:
-            await world.until(
+    async def scenario(harness):
+        caller = harness.make_caller(attempts=1)
+        harness.store.add_fault("busy")
+        async with harness.load(lambda: harness.look_up(caller)) as ended:
+            await harness.until(
                 lambda: ended and ended[-1].code != "", "calls are refused"
             )
-            world.store.clear_faults()
-            await world.until(lambda: ended[-1].status == 200, "calls run again")
+            harness.store.clear_faults()
+            await harness.until(lambda: ended[-1].status == 200, "calls run again")
         refused = [call for call in ended if call.status != 200]
         assert {call.code for call in refused} == {"process.configuration_old"}
         # What ran when the time was up was broken off; all later ones never began.
         later = [call for call in refused if call.began > refused[0].ended]
         assert {call.verdict for call in later} == {"not_run"}
         assert refused[0].began - ended[0].began < KEY_BOUND
-        world.check()
+        harness.check()
 
-    with World(services=1) as world:
-        asyncio.run(scenario(world))
+    with DeploymentHarness(services=1) as harness:
+        asyncio.run(scenario(harness))
 
 
-async def wait_billed(world):
+async def wait_billed(harness):
     """Waits until all that was received is reported, or nothing changes any more."""
     with contextlib.suppress(TimeoutError):
-        await world.until(
-            lambda: count_reported(world.collect()) == count_received(world.evidence),
+        await harness.until(
+            lambda: (
+                count_reported(harness.collect())
+                == count_received(harness.observations)
+            ),
             "usage is reported",
             seconds=30,
         )
 
 
 def test_lost_answers_double_nothing():
-    async def scenario(world):
-        caller = world.make_caller()
-        before = len(await world.follow_history())
-        world.store.add_fault("lose_answer", target="append", count=60)
-        world.store.add_fault("lose_answer", target="duty", count=3)
-        async with world.load(lambda: world.order(caller)) as ended:
-            code, answer = await world.run_command("drain", "bench-b")
+    async def scenario(harness):
+        caller = harness.make_caller()
+        before = len(await harness.follow_history())
+        harness.store.add_fault("lose_answer", target="append", count=60)
+        harness.store.add_fault("lose_answer", target="duty", count=3)
+        async with harness.load(lambda: harness.order(caller)) as ended:
+            code, answer = await harness.run_command("drain", "bench-b")
             assert (code, answer["changed"]) == (ExitCode.OK, True)
-            await world.until(lambda: len(ended) >= 50, "orders go on")
-        changes = await world.follow_history()
+            await harness.until(lambda: len(ended) >= 50, "orders go on")
+        changes = await harness.follow_history()
         assert len(changes) == before + 1
-        world.store.clear_faults()
+        harness.store.clear_faults()
         assert {call.code for call in ended} == {""}
-        await wait_billed(world)
-        check_usage_exact(world.check())
+        await wait_billed(harness)
+        check_usage_exact(harness.check())
 
-    with World(services=2) as world:
-        asyncio.run(scenario(world))
+    with DeploymentHarness(services=2) as harness:
+        asyncio.run(scenario(harness))
 
 
 def test_history_that_is_dropped_loses_nothing():
-    async def scenario(world):
-        caller = world.make_caller()
-        code, _ = await world.run_command("drain", "bench-b")
+    async def scenario(harness):
+        caller = harness.make_caller()
+        code, _ = await harness.run_command("drain", "bench-b")
         assert code == ExitCode.OK
-        world.store.call("POST", "/control/compact")
-        world.add_entry("entry-9", "bench-a")
-        await world.until(
-            lambda: world.read_status("entry-9")["drained"] == ["bench-b"],
+        harness.store.call("POST", "/control/compact")
+        harness.add_entry("entry-9", "bench-a")
+        await harness.until(
+            lambda: harness.read_status("entry-9")["drained"] == ["bench-b"],
             "a new entry knows",
         )
-        world.store.call("POST", "/control/compact")
-        await world.run_command("restore", "bench-b")
-        for name in world.entries:
-            await world.until(
-                lambda name=name: world.read_status(name)["drained"] == [],
+        harness.store.call("POST", "/control/compact")
+        await harness.run_command("restore", "bench-b")
+        for name in harness.entries:
+            await harness.until(
+                lambda name=name: harness.read_status(name)["drained"] == [],
                 "all know",
             )
-        assert (await world.order(caller)).status == 200
-        world.check()
+        assert (await harness.order(caller)).status == 200
+        harness.check()
 
-    with World(services=2) as world:
-        asyncio.run(scenario(world))
+    with DeploymentHarness(services=2) as harness:
+        asyncio.run(scenario(harness))
