--- a/buckthornstile/api/_caller_handlers.py
+++ b/buckthornstile/api/_caller_handlers.py
@@ -109,7 +109,7 @@
             authorization.account.name,
             loop.time() + timeout,
             # The process may have been paused since the call was authorized.
-            check=lambda: check_fresh(self.dependencies),
+            before_send=lambda: check_fresh(self.dependencies),
         )
         return _Call(request, authorization, planned, generation)
 
--- a/buckthornstile/api/_configuration.py
+++ b/buckthornstile/api/_configuration.py
@@ -64,7 +64,7 @@
         self.view = view
         self.key_bound = key_bound
         self.on_change = on_change
-        self.fold = ConfigurationState()
+        self.state = ConfigurationState()
         self.is_loaded = False
         self._trainer_versions: dict[str, int] = {}
         self.consumer = PartitionConsumer(
@@ -91,7 +91,7 @@
     @property
     def current(self) -> Configuration:
         """The configuration in force."""
-        return self.fold.current
+        return self.state.current
 
     def get_staleness(self) -> float:
         """Seconds since configuration and upstreams were both known to be true."""
@@ -140,20 +140,20 @@
             group.create_task(self.versions.run())
 
     def _load(self, records: list[KeyedRecord]) -> None:
-        self.fold.reset()
+        self.state.reset()
         for record in sorted(records, key=lambda one: one.offset):
             self._apply(record)
 
     def _apply(self, record: KeyedRecord) -> None:
         try:
-            self.fold.apply(Offset(record.offset), record.key, record.value)
+            self.state.apply(Offset(record.offset), record.key, record.value)
         except ValueError as error:
             log_event("configuration.unreadable", key=record.key, reason=error)
 
     def _settle(self) -> None:
         is_first = not self.is_loaded
         self.is_loaded = True
-        if not self.fold.commit() and not is_first:
+        if not self.state.commit() and not is_first:
             return
         current = self.current
         self.view.replace_api_configuration(
--- a/buckthornstile/commands/_config.py
+++ b/buckthornstile/commands/_config.py
@@ -140,7 +140,7 @@
             "put": [f"{item.kind} {item.name}" for item in note.put],
             "remove": [f"{item.kind} {item.name}" for item in note.remove],
         }
-        for note in reader.fold.list_recent_changes()
+        for note in reader.state.list_recent_changes()
     ]
     lines = [
         f"revision {change['revision']} by {change['operator'] or 'unnamed'}: "
--- a/buckthornstile/commands/_submit.py
+++ b/buckthornstile/commands/_submit.py
@@ -59,7 +59,7 @@
     def __init__(self, store: StoreClient, *, timeout: float = 2.0) -> None:
         self.store = store
         self.timeout = timeout
-        self.fold = ConfigurationState()
+        self.state = ConfigurationState()
         self.end = 0
 
     async def read(self) -> Configuration:
@@ -85,7 +85,7 @@
             # Pages are no snapshot: a change between them shows as a later record.
             if all(record.offset < self.end for record in records):
                 fold.commit()
-                self.fold = fold
+                self.state = fold
                 return fold.current
 
     async def append(self, change: ConfigurationChange) -> None:
@@ -188,7 +188,7 @@
     def _find_result(self) -> SubmitResult | None:
         if self._made is None:
             return None
-        revision = self.reader.fold.find_revision(self._made.change_id)
+        revision = self.reader.state.find_revision(self._made.change_id)
         if revision is None:
             return None
-        return SubmitResult(revision, self.reader.fold.current.last_offset, True)
+        return SubmitResult(revision, self.reader.state.current.last_offset, True)
--- a/buckthornstile/duties/_lease.py
+++ b/buckthornstile/duties/_lease.py
@@ -87,13 +87,13 @@
         self.clock = clock
         self.holder: ProcessName | None = None
         self.term = -1
-        self.end = 0
-        self.seen_at: float | None = None
+        self.end_offset = 0
+        self.last_record_at: float | None = None
         self.seals: dict[int, SealRecord] = {}
 
     def apply(self, offset: int, record: DutyRecord) -> None:
         """Folds a record."""
-        self.end = max(self.end, offset + 1)
+        self.end_offset = max(self.end_offset, offset + 1)
         if isinstance(record, SealRecord):
             known = self.seals.get(record.window)
             if known is None:
@@ -101,14 +101,14 @@
             elif record.is_reported:
                 self.seals[record.window] = SealRecord(known.window, known.counts, True)
             return
-        self.seen_at = self.clock()
+        self.last_record_at = self.clock()
         self.holder = record.holder
         self.term = offset if record.term is None else record.term
 
     def reset_last_record_at(self) -> None:
         """Notes that the store was away: its silence then was no holder's."""
-        if self.seen_at is not None:
-            self.seen_at = self.clock()
+        if self.last_record_at is not None:
+            self.last_record_at = self.clock()
 
 
 class Lease:
@@ -116,7 +116,7 @@
 
     Args:
         name: This process's name.
-        fold: The fold of the records.
+        state: The fold of the records.
         clock: Gives the time in seconds; it must go on while suspended.
         turn_bound: Seconds in which the holder may not change there and back.
     """
@@ -124,21 +124,23 @@
     def __init__(
         self,
         name: ProcessName,
-        fold: DutyState,
+        state: DutyState,
         *,
         clock: Callable[[], float],
         turn_bound: float,
     ) -> None:
         self.name = name
-        self.fold = fold
+        self.state = state
         self.clock = clock
         self.turn_bound = turn_bound
         self._renewed_at = -1e9
         self._renewed_term = -1
 
-    def holds(self) -> bool:
+    def is_held(self) -> bool:
         """Whether this process may act now."""
-        is_own = self.fold.holder == self.name and self.fold.term == self._renewed_term
+        is_own = (
+            self.state.holder == self.name and self.state.term == self._renewed_term
+        )
         age = self.clock() - self._renewed_at
         return is_own and age < ACT_SHARE * self.turn_bound
 
@@ -149,11 +151,11 @@
     def get_due_record(self) -> LeaseRecord | None:
         """Gives the record that should be appended now, if any."""
         now = self.clock()
-        if self.fold.holder == self.name:
+        if self.state.holder == self.name:
             is_due = now - self._renewed_at >= RENEW_SHARE * self.turn_bound
-            is_due = is_due or self._renewed_term != self.fold.term
-            return LeaseRecord(self.name, self.fold.term) if is_due else None
-        seen_at = self.fold.seen_at
+            is_due = is_due or self._renewed_term != self.state.term
+            return LeaseRecord(self.name, self.state.term) if is_due else None
+        seen_at = self.state.last_record_at
         if seen_at is None or now - seen_at >= SILENCE_SHARE * self.turn_bound:
             return LeaseRecord(self.name)
         return None
@@ -162,6 +164,6 @@
         self, record: LeaseRecord, offset: int, sent_at: float
     ) -> None:
         """Notes that a record of this process was acknowledged."""
-        self.fold.apply(offset, record)
+        self.state.apply(offset, record)
         self._renewed_at = sent_at
-        self._renewed_term = self.fold.term
+        self._renewed_term = self.state.term
--- a/buckthornstile/duties/tests/test_lease_machine.py
+++ b/buckthornstile/duties/tests/test_lease_machine.py
@@ -84,7 +84,7 @@
         record = process.lease.get_due_record()
         if record is None:
             return
-        sent_at, at = self.now, process.fold.end
+        sent_at, at = self.now, process.fold.end_offset
         data = encode_duty_record(record)
         if outcome == "late":
             self.late.append((at, data))
@@ -111,7 +111,7 @@
 
     def act(self, name: str) -> None:
         process = self.processes[name]
-        if process.lease.holds():
+        if process.lease.is_held():
             self.acts.append((self.now, name, process.fold.term))
 
     @invariant()
@@ -155,8 +155,8 @@
     machine.write("e1", "answered")
     machine.write("e2", "answered")
     second.read_log(machine.log)
-    assert first.lease.holds()
-    assert not second.lease.holds()
+    assert first.lease.is_held()
+    assert not second.lease.is_held()
     assert second.lease.get_due_record() is None
 
 
@@ -165,9 +165,9 @@
     machine.start()
     machine.write("e1", "answered")
     holder = machine.processes["e1"]
-    assert holder.lease.holds()
+    assert holder.lease.is_held()
     machine.now += 0.5 * TURN_BOUND
-    assert not holder.lease.holds()
+    assert not holder.lease.is_held()
 
 
 def test_silence_of_an_outage_is_no_death() -> None:
--- a/buckthornstile/duties/tests/test_usage_machine.py
+++ b/buckthornstile/duties/tests/test_usage_machine.py
@@ -58,7 +58,7 @@
 
     def write(self, record: SealRecord, outcome: str) -> bool:
         """Appends at the end that is known; whether the answer came."""
-        at, data = self.fold.end, encode_duty_record(record)
+        at, data = self.fold.end_offset, encode_duty_record(record)
         if outcome == "late":
             self.machine.late.append((at, data))
             return False
--- a/buckthornstile/entry/_daemon.py
+++ b/buckthornstile/entry/_daemon.py
@@ -369,7 +369,9 @@
         configuration = self.configuration
         revision = configuration.current.revision if configuration else 0
         gauges = {
-            "open_requests": sum(listener.open for listener in self.listeners),
+            "open_requests": sum(
+                listener.open_request_count for listener in self.listeners
+            ),
             "jobs_running": self.owner.count_running(),
             "jobs_kept": len(self.jobs.table.jobs),
             "upstreams_known": len(self.view.upstreams),
@@ -377,17 +379,17 @@
             "configuration_revision": revision,
             "configuration_age_seconds": self.watch.operator.get_staleness(),
             "jobs_age_seconds": self.jobs.get_staleness(),
-            "holds_lease": float(self.control.lease_manager.lease.holds()),
+            "holds_lease": float(self.control.lease_manager.lease.is_held()),
             "ready": float(self.is_ready()),
         }
         return self.metrics.render(self.events.counters, gauges)
 
     def _read_state(self) -> ProcessState:
-        fold = self.control.lease_manager.fold
+        fold = self.control.lease_manager.duty_state
         return ProcessState(
             ready=self.is_ready(),
             stopping=self.is_stopping,
-            is_holder=self.control.lease_manager.lease.holds(),
+            is_holder=self.control.lease_manager.lease.is_held(),
             term=fold.term,
             holder=fold.holder,
             jobs=self.owner.count_running(),
@@ -457,7 +459,8 @@
 
     async def _drain(self) -> None:
         log_event(
-            "process.drain", open=sum(listener.open for listener in self.listeners)
+            "process.drain",
+            open=sum(listener.open_request_count for listener in self.listeners),
         )
         self.is_stopping = True
         self.presence_publisher.is_leaving = True
@@ -467,22 +470,22 @@
             if listener.handler != self._answer_ready:
                 listener.start_draining()
         await self.owner.checkpoint_all()
-        await self.presence_publisher.announce()
+        await self.presence_publisher.publish()
         began = self.clock()
         end = began + self.settings.stop_grace - STOP_MARGIN
         await self._finish_work(began + DRAIN_TIME, end)
         # From here on no request is read that could not be answered any more.
         for listener in self.listeners:
-            listener.close_idle()
+            listener.stop_reading()
         await self._finish_work(self.clock(), end)
-        await self.presence_publisher.announce()
+        await self.presence_publisher.publish()
         for listener in self.listeners:
             await listener.close()
 
     async def _finish_work(self, earliest: float, latest: float) -> None:
         """Waits until nothing is open, between two times."""
         while self.clock() < latest:
-            open_work = sum(listener.open for listener in self.listeners)
+            open_work = sum(listener.open_request_count for listener in self.listeners)
             open_work += self.owner.count_running()
             if not open_work and self.clock() >= earliest:
                 return
--- a/buckthornstile/entry/_http_listener.py
+++ b/buckthornstile/entry/_http_listener.py
@@ -60,7 +60,7 @@
     Args:
         handler: Answers a request.
         address: Where to listen, as ``IP:port``; port 0 takes a free one.
-        protocol: How requests are read and answers written.
+        codec: How requests are read and answers written.
         idle_timeout: Seconds after which an idle connection is closed.
         ssl_options: TLS options, or None for plain HTTP.
     """
@@ -69,14 +69,14 @@
         self,
         handler: Handler,
         address: str,
-        protocol: HTTPCodec,
+        codec: HTTPCodec,
         *,
         idle_timeout: float,
         ssl_options: ssl.SSLContext | None = None,
     ) -> None:
         self.handler = handler
         self.address = address
-        self.protocol = protocol
+        self.codec = codec
         self.max_body_bytes = MAX_BODY_BYTES
         self.max_header_bytes = MAX_HEADER_BYTES
         self.is_draining = False
@@ -104,11 +104,11 @@
         self._server.conn_params.no_keep_alive = True
 
     @property
-    def open(self) -> int:
+    def open_request_count(self) -> int:
         """Requests whose head was read and whose answer is not written yet."""
         return len(self._begun)
 
-    def close_idle(self) -> None:
+    def stop_reading(self) -> None:
         """Reads no further request: closes all connections without one."""
         self.is_stopped = True
         self._server.stop()
@@ -135,12 +135,12 @@
     def on_close(self, server_conn: object) -> None:
         self._idle.pop(server_conn, None)
 
-    def begin(self, message: "_Message") -> None:
+    def on_request_started(self, message: "_Message") -> None:
         """Notes that the head of a request was read."""
         self._idle.pop(message.server_connection, None)
         self._begun.add(message)
 
-    def end(self, message: "_Message") -> None:
+    def on_request_finished(self, message: "_Message") -> None:
         """Notes that a request was answered, or that its client has left."""
         self._begun.discard(message)
 
@@ -171,7 +171,7 @@
     ) -> Awaitable[None] | None:
         assert isinstance(start_line, RequestStartLine)
         self.line, self.headers = start_line, headers
-        self.listener.begin(self)
+        self.listener.on_request_started(self)
         if self._count_header_bytes() > self.listener.max_header_bytes:
             return self._refuse(ErrorCode.HEADERS_TOO_LARGE, "the headers are too long")
         declared = headers.get("Content-Length", "")
@@ -192,12 +192,12 @@
         if self.is_refused:
             return
         self.task = asyncio.create_task(self._serve())
-        self.task.add_done_callback(lambda _: self.listener.end(self))
+        self.task.add_done_callback(lambda _: self.listener.on_request_finished(self))
         self.connection.set_close_callback(self._note_left)  # type: ignore[attr-defined]
 
     def on_connection_close(self) -> None:
         self.body.clear()
-        self.listener.end(self)
+        self.listener.on_request_finished(self)
 
     def _note_left(self) -> None:
         if self.task is not None:
@@ -217,16 +217,16 @@
         self.is_refused = True
         self.body.clear()
         request = self._decode(b"")
-        reply = self.listener.protocol.render_error(BuckthornstileError(code, message))
+        reply = self.listener.codec.render_error(BuckthornstileError(code, message))
         log_event("request.too_large", request=request.id, reason=message)
         try:
             await self._write(request, reply, is_last=True)
         finally:
-            self.listener.end(self)
+            self.listener.on_request_finished(self)
 
     def _decode(self, body: bytes) -> AnyRequest:
         assert self.line is not None
-        return self.listener.protocol.decode(
+        return self.listener.codec.decode(
             self.line.method, self.line.path, self.headers, body
         )
 
@@ -251,13 +251,13 @@
                 "the entry failed on the request",
                 verdict=Verdict.MAY_HAVE_RUN,
             )
-            return self.listener.protocol.render_error(failure)
+            return self.listener.codec.render_error(failure)
 
     def _make_head(
         self, request: AnyRequest, reply: AnyResponse, is_last: bool
     ) -> tuple[ResponseStartLine, HTTPHeaders]:
         headers = HTTPHeaders()
-        for name, value in self.listener.protocol.encode(request, reply):
+        for name, value in self.listener.codec.encode(request, reply):
             headers.add(name, value)
         if is_last:
             headers["Connection"] = "close"
--- a/buckthornstile/entry/_presence_publisher.py
+++ b/buckthornstile/entry/_presence_publisher.py
@@ -92,7 +92,7 @@
     async def run(self) -> None:
         """Appends records until cancelled."""
         while True:
-            is_stored = await self.announce()
+            is_stored = await self.publish()
             self._news.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(
@@ -100,7 +100,7 @@
                 ):
                     await self._news.wait()
 
-    async def announce(self) -> bool:
+    async def publish(self) -> bool:
         """Appends one record; a failure is logged and the next one makes it good.
 
         Returns:
--- a/buckthornstile/entry/tests/in_process.py
+++ b/buckthornstile/entry/tests/in_process.py
@@ -287,7 +287,7 @@
             sent.append(("Credential", key))
         request = HTTPRequest(method, target, sent, body)
         address = self.entries[entry].settings.client_address
-        return await self.pool.exchange(address, request, fresh=True)
+        return await self.pool.send(address, request, new_connection=True)
 
     async def call(self, entry: str, request_id: str, **options: Any) -> HTTPResponse:
         """Sends a plain request."""
--- a/buckthornstile/entry/tests/test_calls.py
+++ b/buckthornstile/entry/tests/test_calls.py
@@ -182,7 +182,9 @@
     await deployment.wait_for(lambda: worker.state.running)
     task.cancel()
     closed = deployment.entries["e1"]
-    await deployment.wait_for(lambda: not closed.client_listener.open, timeout=0.4)
+    await deployment.wait_for(
+        lambda: not closed.client_listener.open_request_count, timeout=0.4
+    )
 
 
 @with_deployment
@@ -203,7 +205,7 @@
     assert (await deployment.call("e1", "r1")).status == 200
     address = entry.settings.metrics_address
     request = HTTPRequest("GET", "/metrics", [("Host", address)])
-    answer = await deployment.pool.exchange(address, request)
+    answer = await deployment.pool.send(address, request)
     text = bytes(answer.body).decode()
     assert 'account_request_duration_seconds_count{account="mill"} 1' in text
     assert "buckthornstile_ready 1" in text
--- a/buckthornstile/entry/tests/test_stop.py
+++ b/buckthornstile/entry/tests/test_stop.py
@@ -38,14 +38,14 @@
     entry = await deployment.add_entry("e1")
     address = entry.settings.client_address
     pool, outcomes = ConnectionPool(), []
-    await pool.exchange(address, make_request("r0"))
-    announce = entry.presence_publisher.announce
+    await pool.send(address, make_request("r0"))
+    announce = entry.presence_publisher.publish
     sending: list[asyncio.Task[None]] = []
     calls = 0
 
     async def send() -> None:
         try:
-            outcomes.append((await pool.exchange(address, make_request("r1"))).status)
+            outcomes.append((await pool.send(address, make_request("r1"))).status)
         except BuckthornstileError as error:
             outcomes.append(error.code)
 
@@ -60,7 +60,7 @@
 
     with (
         patch.object(_daemon, "DRAIN_TIME", 0.3),
-        patch.object(entry.presence_publisher, "announce", announce_slowly),
+        patch.object(entry.presence_publisher, "publish", announce_slowly),
     ):
         stopping = asyncio.create_task(entry._drain())
         await stopping
@@ -83,13 +83,13 @@
 
     def handle_late(stream: IOStream, address: Any) -> None:
         handle_stream(stream, address)
-        listener.close_idle()
+        listener.stop_reading()
 
     with (
         patch.object(listener._server, "handle_stream", handle_late),
         pytest.raises(BuckthornstileError),
     ):
-        await pool.exchange(entry.settings.client_address, make_request("r1"))
+        await pool.send(entry.settings.client_address, make_request("r1"))
     assert worker.list_runs() == []
     pool.close()
 
@@ -101,8 +101,8 @@
     deployment.add_worker("w1", PLAIN_SERVICE, work_seconds=1.0)
     entry = await deployment.add_entry("e1")
     calling = asyncio.create_task(deployment.call("e1", "r1"))
-    await deployment.wait_for(lambda: entry.client_listener.open)
+    await deployment.wait_for(lambda: entry.client_listener.open_request_count)
     with patch.object(_daemon, "DRAIN_TIME", 0.1):
         await entry._drain()
     assert (await calling).status == 200
-    assert not entry.client_listener.open
+    assert not entry.client_listener.open_request_count
--- a/buckthornstile/entry/tests/test_streams.py
+++ b/buckthornstile/entry/tests/test_streams.py
@@ -48,11 +48,11 @@
         ("Token-Counts", "10,20"),
     ]
     request = HTTPRequest("POST", "/notes/1", headers, b"hello")
-    return await deployment.pool.exchange(
+    return await deployment.pool.send(
         deployment.entries["e1"].settings.client_address,
         request,
         on_data=chunks.append,
-        fresh=True,
+        new_connection=True,
     )
 
 
--- a/buckthornstile/gateway/_call_sender.py
+++ b/buckthornstile/gateway/_call_sender.py
@@ -184,11 +184,11 @@
         place = balancer.acquire_permit(upstream)
         try:
             # On a kept connection an unanswered request may have been run.
-            answer = await self.sender.pool.exchange(
+            answer = await self.sender.pool.send(
                 upstream.address,
                 outgoing,
-                fresh=not self.repeats,
-                check=call.check,
+                new_connection=not self.repeats,
+                before_send=call.before_send,
             )
         finally:
             place.release()
--- a/buckthornstile/gateway/_item_runner.py
+++ b/buckthornstile/gateway/_item_runner.py
@@ -154,7 +154,7 @@
 
     async def execute(self, call: UpstreamCall) -> RunOutcome:
         self.task = asyncio.create_task(
-            self.runner.pool.exchange(
+            self.runner.pool.send(
                 self.upstream.address,
                 encode_upstream_call(call),
                 on_headers=self._take_head,
--- a/buckthornstile/gateway/_lease_manager.py
+++ b/buckthornstile/gateway/_lease_manager.py
@@ -44,8 +44,8 @@
         self.name = name
         self.store = store
         self.clock = clock
-        self.fold = DutyState(clock)
-        self.lease = Lease(name, self.fold, clock=clock, turn_bound=turn_bound)
+        self.duty_state = DutyState(clock)
+        self.lease = Lease(name, self.duty_state, clock=clock, turn_bound=turn_bound)
         self.is_leaving = False
         self.consumer = PartitionConsumer(
             store,
@@ -61,7 +61,7 @@
 
     def may_act(self) -> bool:
         """Whether enough of the lease is left to begin a call."""
-        return self.lease.holds() and self.lease.get_remaining_time() > MIN_TIME_LEFT
+        return self.lease.is_held() and self.lease.get_remaining_time() > MIN_TIME_LEFT
 
     def bound(self, seconds: float) -> float:
         """Bounds a time-out by what is left of the lease."""
@@ -87,7 +87,7 @@
             return
         self.lease.record_acknowledged(record, offset, sent_at)
         if record.term is None:
-            log_event("lease.taken", term=self.fold.term)
+            log_event("lease.taken", term=self.duty_state.term)
 
     async def append(self, record: DutyRecord) -> int | None:
         """Appends a record at the end that is known; None if that has moved on.
@@ -101,7 +101,7 @@
                     DUTY_TOPIC,
                     0,
                     [encode_duty_record(record)],
-                    at=self.fold.end,
+                    at=self.duty_state.end_offset,
                     timeout=APPEND_TIMEOUT,
                 )
             except AppendConflictError:
@@ -114,13 +114,15 @@
         except ValueError as error:
             log_event("duty.record_unreadable", offset=offset, reason=error)
             return
-        before = self.fold.holder
-        self.fold.apply(offset, record)
-        if self.fold.holder != before:
-            log_event("lease.holder", holder=self.fold.holder, term=self.fold.term)
+        before = self.duty_state.holder
+        self.duty_state.apply(offset, record)
+        if self.duty_state.holder != before:
+            log_event(
+                "lease.holder", holder=self.duty_state.holder, term=self.duty_state.term
+            )
 
     def _note_read(self) -> None:
-        self.fold.end = max(self.fold.end, self.consumer.end)
+        self.duty_state.end_offset = max(self.duty_state.end_offset, self.consumer.end)
         if self.consumer.reconnected_at > self._returned_at:
             self._returned_at = self.consumer.reconnected_at
-            self.fold.reset_last_record_at()
+            self.duty_state.reset_last_record_at()
--- a/buckthornstile/gateway/_model_load_dispatcher.py
+++ b/buckthornstile/gateway/_model_load_dispatcher.py
@@ -73,7 +73,7 @@
 
     def list_unpublished_versions(self) -> LoadedVersions:
         """Lists what engines hold that their entries do not show yet."""
-        if not self.lease_manager.lease.holds():
+        if not self.lease_manager.lease.is_held():
             return {}
         return {
             name: (self.view.upstreams[name].started_at_ms, versions)
@@ -95,14 +95,14 @@
             version=load.version,
             mode=self._choose_mode(upstream.service),
             holder=self.node,
-            term=self.lease_manager.fold.term,
+            term=self.lease_manager.duty_state.term,
             expected_orders=expected_orders,
         )
         outcome = "unanswered"
         try:
             async with asyncio.timeout(self.lease_manager.bound(ORDER_TIMEOUT)):
-                answer = await self.pool.exchange(
-                    upstream.address, encode_order(order), fresh=True
+                answer = await self.pool.send(
+                    upstream.address, encode_order(order), new_connection=True
                 )
             result = decode_order_answer(answer)
             outcome = result.value
@@ -138,7 +138,7 @@
             return
         try:
             async with asyncio.timeout(REPORT_TIMEOUT):
-                answer = await self.pool.exchange(
+                answer = await self.pool.send(
                     upstream.address, encode_report_request(upstream.id)
                 )
             report = decode_report(answer)
--- a/buckthornstile/gateway/_peer_client.py
+++ b/buckthornstile/gateway/_peer_client.py
@@ -58,14 +58,14 @@
                 continue
             try:
                 async with asyncio.timeout(FORWARD_TIME + request.wait):
-                    answer = await self.pool.exchange(
+                    answer = await self.pool.send(
                         address, encode_forwarded_request(request)
                     )
             except (TimeoutError, BuckthornstileError) as error:
                 log_event(
                     "peer.failed", request=request.id, peer=peer, reason=repr(error)
                 )
-                self.pool.drop_idle(address)
+                self.pool.close_idle(address)
                 continue
             return decode_forwarded_response(answer)
         raise BuckthornstileError(
--- a/buckthornstile/gateway/_stream_proxy.py
+++ b/buckthornstile/gateway/_stream_proxy.py
@@ -93,13 +93,13 @@
         self.answered = asyncio.Event()
         self.malformed = False
         self.task = asyncio.create_task(
-            relay.pool.exchange(
+            relay.pool.send(
                 upstream.address,
                 encode_upstream_call(call),
                 on_headers=self._take_head,
                 on_data=self._take_data,
-                fresh=True,
-                check=check,
+                new_connection=True,
+                before_send=check,
             )
         )
         self.task.add_done_callback(self._note_end)
@@ -256,7 +256,7 @@
             last_event_id=self.last_event,
         )
         place = balancer.acquire_permit(upstream)
-        return _Run(self.relay, upstream, call, place, self.call.check)
+        return _Run(self.relay, upstream, call, place, self.call.before_send)
 
     async def _read_whole(self, run: _Run) -> HTTPResponse:
         self.may_have_run = True
--- a/buckthornstile/gateway/_usage_reporter.py
+++ b/buckthornstile/gateway/_usage_reporter.py
@@ -57,7 +57,7 @@
         if not self.lease_manager.may_act():
             return
         wall_time = self.wall_clock()
-        fold = self.lease_manager.fold
+        fold = self.lease_manager.duty_state
         unsealed = self.totals.find_windows_to_seal(
             fold.seals, wall_time, self.due, self.list_pending_processes()
         )
@@ -73,7 +73,7 @@
                 await self._report(seal, wall_time)
 
     async def _report(self, seal: SealRecord, wall_time: float) -> None:
-        fold = self.lease_manager.fold
+        fold = self.lease_manager.duty_state
         age = wall_time - (seal.window + 1) * self.totals.window
         if age > self.due or not self.lease_manager.may_act():
             return
@@ -91,5 +91,5 @@
             return
         record = SealRecord(seal.window, seal.counts, is_reported=True)
         log_event("usage.reported", window=seal.window, term=fold.term, age=age)
-        fold.apply(fold.end - 1, record)
+        fold.apply(fold.end_offset - 1, record)
         await self.lease_manager.append(record)
--- a/buckthornstile/http_client/_connection_pool.py
+++ b/buckthornstile/http_client/_connection_pool.py
@@ -141,7 +141,7 @@
         self.max_idle_per_peer = max_idle_per_peer
         self._idle: dict[str, list[tuple[IOStream, float]]] = {}
 
-    async def exchange(
+    async def send(
         self,
         address: str,
         request: HTTPRequest,
@@ -149,8 +149,8 @@
         on_headers: OnHead | None = None,
         on_data: OnData | None = None,
         connect_timeout: float = CONNECT_TIMEOUT,
-        fresh: bool = False,
-        check: Callable[[], None] | None = None,
+        new_connection: bool = False,
+        before_send: Callable[[], None] | None = None,
     ) -> HTTPResponse:
         """Sends a request and reads its answer to the end.
 
@@ -162,8 +162,8 @@
             on_headers: Called when status and headers are there.
             on_data: Called with each part of the body, in place of collecting it.
             connect_timeout: Seconds for a new connection to stand.
-            fresh: Use a new connection.
-            check: Called last before the request is written; raises if it may not be
+            new_connection: Use a new connection.
+            before_send: Called last before the request is written; raises if it may not be
                 sent any more.
 
         Returns:
@@ -172,7 +172,7 @@
         Raises:
             BuckthornstileError: The verdict is NOT_RUN only if no byte left.
         """
-        stream = None if fresh else self._take(address)
+        stream = None if new_connection else self._take(address)
         reused = stream is not None
         if stream is None:
             stream = await _connect(address, connect_timeout)
@@ -180,7 +180,7 @@
         reader.on_headers, reader.on_data = on_headers, on_data
         kept = False
         try:
-            is_open = await _run(stream, request, reader, check)
+            is_open = await _run(stream, request, reader, before_send)
             answer = _check_whole(stream, reader)
             kept = is_open and reader.keeps_alive and reader.length_declared
             if kept:
@@ -190,7 +190,7 @@
             if not kept:
                 _reset(stream)
 
-    def drop_idle(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Closes the idle connections to a peer."""
         for stream, _ in self._idle.pop(address, ()):
             stream.close()
@@ -198,7 +198,7 @@
     def close(self) -> None:
         """Closes all idle connections."""
         for address in list(self._idle):
-            self.drop_idle(address)
+            self.close_idle(address)
 
     def _take(self, address: str) -> IOStream | None:
         idle = self._idle.get(address)
@@ -254,7 +254,7 @@
     stream: IOStream,
     request: HTTPRequest,
     reader: _Reader,
-    check: Callable[[], None] | None,
+    before_send: Callable[[], None] | None,
 ) -> bool:
     parameters = HTTP1ConnectionParameters(
         chunk_size=CHUNK_BYTES,
@@ -268,8 +268,8 @@
     if request.body is not None:
         headers["Content-Length"] = str(len(request.body))
     line = RequestStartLine(request.method, request.target, "HTTP/1.1")
-    if check is not None:
-        check()
+    if before_send is not None:
+        before_send()
     try:
         sent = connection.write_headers(line, headers, request.body or None)
         sent.add_done_callback(_consume_error)
--- a/buckthornstile/http_client/tests/test_connection_pool.py
+++ b/buckthornstile/http_client/tests/test_connection_pool.py
@@ -69,9 +69,9 @@
 
     async def test(pool: ConnectionPool, address: str) -> None:
         with pytest.raises(BuckthornstileError) as caught:
-            await pool.exchange(address, REQUEST, check=check)
+            await pool.send(address, REQUEST, before_send=check)
         assert caught.value.verdict is Verdict.NOT_RUN
-        answer = await pool.exchange(address, REQUEST)
+        answer = await pool.send(address, REQUEST)
         assert bytes(answer.body) == b"ok"
 
     play(serve, test)
@@ -83,7 +83,7 @@
 
     async def test(pool: ConnectionPool, address: str) -> None:
         for _ in range(2):
-            answer = await pool.exchange(address, REQUEST)
+            answer = await pool.send(address, REQUEST)
             assert (answer.status, bytes(answer.body)) == (200, b"ok")
 
     play(serve, test)
@@ -102,9 +102,9 @@
     serve, counts = serve_each(first, make_answer())
 
     async def test(pool: ConnectionPool, address: str) -> None:
-        await pool.exchange(address, REQUEST)
+        await pool.send(address, REQUEST)
         await asyncio.sleep(0.02)
-        assert bytes((await pool.exchange(address, REQUEST)).body) == b"ok"
+        assert bytes((await pool.send(address, REQUEST)).body) == b"ok"
 
     play(serve, test)
     assert counts == [1, 1]
@@ -124,7 +124,7 @@
 
     async def test(pool: ConnectionPool, address: str) -> None:
         with pytest.raises(BuckthornstileError) as caught:
-            await pool.exchange(address, REQUEST)
+            await pool.send(address, REQUEST)
         assert caught.value.code is code
         assert caught.value.verdict is Verdict.MAY_HAVE_RUN
 
@@ -136,7 +136,7 @@
     serve, _ = serve_each(body, then_close=True)
 
     async def test(pool: ConnectionPool, address: str) -> None:
-        assert bytes((await pool.exchange(address, REQUEST)).body) == b"to the end"
+        assert bytes((await pool.send(address, REQUEST)).body) == b"to the end"
 
     play(serve, test)
 
@@ -144,7 +144,7 @@
 def test_no_connection_is_not_run() -> None:
     async def run() -> None:
         with pytest.raises(BuckthornstileError) as caught:
-            await ConnectionPool().exchange("127.0.0.1:1", REQUEST)
+            await ConnectionPool().send("127.0.0.1:1", REQUEST)
         assert caught.value.verdict is Verdict.NOT_RUN
 
     asyncio.run(run())
@@ -165,7 +165,7 @@
     async def test(pool: ConnectionPool, address: str) -> None:
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.1):
-                await pool.exchange(address, REQUEST)
+                await pool.send(address, REQUEST)
         while not ends:
             await asyncio.sleep(0.01)
 
--- a/buckthornstile/jobs/tests/test_ownership_machine.py
+++ b/buckthornstile/jobs/tests/test_ownership_machine.py
@@ -48,7 +48,7 @@
         self.epoch = -1
         self.pending: tuple[list[bytes], int, int] | None = None
 
-    def fold(self, offset: int, record: bytes) -> None:
+    def apply_records(self, offset: int, record: bytes) -> None:
         key = record[1 : 1 + record[0]].decode()
         value = record[1 + record[0] :] or None
         self.table.apply(0, offset, key, value, 0.0, wall_time=0.0)
@@ -102,7 +102,7 @@
         if process.read < self.partition.first:
             self._read_newest(process)
         for offset in range(process.read, self.partition.end):
-            process.fold(
+            process.apply_records(
                 offset, self.partition.records[offset - self.partition.first][1]
             )
         process.read = self.partition.end
@@ -110,7 +110,7 @@
     def _read_newest(self, process: Process) -> None:
         newest = sorted(self.partition.newest.items(), key=lambda one: one[1][0])
         for key, (offset, value) in newest:
-            process.fold(offset, bytes([len(key)]) + key + value)
+            process.apply_records(offset, bytes([len(key)]) + key + value)
         process.read = self.partition.end
 
     @rule(name=st.sampled_from(NAMES), outcome=st.sampled_from(["ok", "lost", "late"]))
--- a/buckthornstile/jobs/tests/test_table.py
+++ b/buckthornstile/jobs/tests/test_table.py
@@ -69,7 +69,7 @@
     return records
 
 
-def fold(records: list, table: JobTable | None = None) -> JobTable:
+def apply_records(records: list, table: JobTable | None = None) -> JobTable:
     table = table or JobTable()
     for offset, record in enumerate(records):
         table.apply(0, offset, record.key, record.value, 5.0, wall_time=1000.0)
@@ -77,14 +77,14 @@
 
 
 def test_specification_survives_the_store() -> None:
-    job = fold(make_log([])).find(JOB)
+    job = apply_records(make_log([])).find(JOB)
     assert job is not None
     assert job.specification == make_specification()
     assert len(encode_specification(make_specification(), 300)) > 1
 
 
 def test_long_results_are_split_and_joined() -> None:
-    job = fold(make_log([2], length=2000)).find(JOB)
+    job = apply_records(make_log([2], length=2000)).find(JOB)
     assert job is not None
     assert job.results == [make_result(2, 2000)]
 
@@ -97,7 +97,7 @@
 )
 def test_all_readers_list_the_same(order, repeats, cut) -> None:
     log = make_log(list(order) + repeats)
-    tail = fold(log).find(JOB)
+    tail = apply_records(log).find(JOB)
     assert tail is not None
     assert [result.item for result in tail.results] == [f"i{one}" for one in order]
     # One that begins with the newest record of each key and reads on. Results are
@@ -129,8 +129,8 @@
 
 
 def test_first_specification_holds_and_end_ends() -> None:
-    table = fold(make_log([0]))
-    fold(make_log([]), table)
+    table = apply_records(make_log([0]))
+    apply_records(make_log([]), table)
     job = table.find(JOB)
     assert job is not None
     assert len(job.results) == 1
@@ -141,13 +141,13 @@
 
 def test_result_of_an_unknown_item_is_left_out() -> None:
     log = make_log([]) + encode_result(JOB, make_result(77), RECORD_BYTES)
-    job = fold(log).find(JOB)
+    job = apply_records(log).find(JOB)
     assert job is not None
     assert job.results == []
 
 
 def test_dropped_job_is_forgotten_and_expires_by_age() -> None:
-    table = fold(make_log([0]))
+    table = apply_records(make_log([0]))
     job = table.find(JOB)
     assert job is not None
     assert table.list_expired(5.0 + 120.0, 120.0) == []
--- a/buckthornstile/messages/_types.py
+++ b/buckthornstile/messages/_types.py
@@ -187,7 +187,7 @@
 class RoutedCall:
     """A request with its route, ready to be sent; ``deadline`` is loop time.
 
-    ``check`` is called last before each send, and raises ``CONFIGURATION_OLD`` if
+    ``before_send`` is called last before each send, and raises ``CONFIGURATION_OLD`` if
     what is known of keys and upstreams has become too old.
     """
 
@@ -195,4 +195,4 @@
     route: Route
     account: AccountId | None
     deadline: float
-    check: Callable[[], None] | None = None
+    before_send: Callable[[], None] | None = None
--- a/buckthornstile/platform/_duties.py
+++ b/buckthornstile/platform/_duties.py
@@ -48,7 +48,7 @@
         request = HTTPRequest("POST", "/usage", headers, body)
         try:
             async with asyncio.timeout(timeout):
-                answer = await self._pool.exchange(self.address, request)
+                answer = await self._pool.send(self.address, request)
         except (TimeoutError, BuckthornstileError) as error:
             raise PlatformUnavailableError(f"usage report: {error}") from error
         if answer.status != 200:
--- a/buckthornstile/platform/_store.py
+++ b/buckthornstile/platform/_store.py
@@ -302,10 +302,10 @@
         request = HTTPRequest(method, path, headers, body)
         try:
             async with asyncio.timeout(timeout):
-                answer = await self._pool.exchange(address, request)
+                answer = await self._pool.send(address, request)
         except TimeoutError as error:
             # Open connections may all have gone silent while new ones work.
-            self._pool.drop_idle(address)
+            self._pool.close_idle(address)
             self.path.record_failure(relay)
             raise PlatformUnavailableError(
                 "the store gave no answer in time"
