--- a/buckthornstile/api/_caller_handlers.py
+++ b/buckthornstile/api/_caller_handlers.py
@@ -149,7 +149,7 @@
 
     async def _generate(self, call: _Call) -> Response:
         """Gathers an engine's events into one JSON answer."""
-        opened = await self.dependencies.relay.open(call.planned)
+        opened = await self.dependencies.stream_proxy.open(call.planned)
         if isinstance(opened, Response):
             headers = _mark_ran(_keep_shown(opened.headers))
             return Response(opened.status, opened.body, headers)
@@ -169,7 +169,8 @@
             await self._enter(call)
             try:
                 opened = await self.dependencies.revocation.run(
-                    call.authorization.key, self.dependencies.relay.open(call.planned)
+                    call.authorization.key,
+                    self.dependencies.stream_proxy.open(call.planned),
                 )
             except BaseException:
                 self._leave(call)
--- a/buckthornstile/api/_configuration.py
+++ b/buckthornstile/api/_configuration.py
@@ -72,7 +72,7 @@
             CONFIGURATION_TOPIC,
             0,
             clock=clock,
-            wait=TOPIC_WAIT,
+            max_wait=TOPIC_WAIT,
             on_record=self._apply,
             on_snapshot=self._load,
             on_caught_up=self._settle,
@@ -83,7 +83,7 @@
             TRAINER_VERSION_TOPIC,
             0,
             clock=clock,
-            wait=TOPIC_WAIT,
+            max_wait=TOPIC_WAIT,
             on_record=self._apply_version,
             on_snapshot=self._load_versions,
         )
@@ -116,7 +116,7 @@
         """The newest version that a trainer has named, or 0."""
         return self._trainer_versions.get(trainer, 0)
 
-    async def name_version(
+    async def publish_version(
         self, trainer: str, model: ModelName | None, version: int
     ) -> None:
         """Stores the version that a trainer is at.
@@ -207,6 +207,6 @@
         timeout=LONGEST_TIMEOUT,
         target_latency=LONGEST_TIMEOUT,
         max_attempts=MAX_ATTEMPTS,
-        is_open=isinstance(rule, OpenRoute),
+        allows_anonymous=isinstance(rule, OpenRoute),
         is_resumable=rule.idempotent,
     )
--- a/buckthornstile/api/_dependencies.py
+++ b/buckthornstile/api/_dependencies.py
@@ -31,9 +31,9 @@
 
     settings: EntrySettings
     view: TopologyView
-    watch: ConfigurationWatcher
+    configuration_watcher: ConfigurationWatcher
     sender: CallSender
-    relay: StreamProxy
+    stream_proxy: StreamProxy
     jobs: JobStore
     admission: AdmissionController
     revocation: RevocationMonitor
@@ -81,7 +81,7 @@
     Raises:
         BuckthornstileError: It may not run, or nobody can say.
     """
-    watch = dependencies.watch
+    watch = dependencies.configuration_watcher
     if not watch.is_loaded:
         raise BuckthornstileError(
             ErrorCode.CONFIGURATION_MISSING,
@@ -125,7 +125,9 @@
     """
     if not request.key:
         raise BuckthornstileError(ErrorCode.KEY_MISSING, "the request has no key")
-    key = dependencies.watch.current.find_api_key(hash_api_key(request.key))
+    key = dependencies.configuration_watcher.current.find_api_key(
+        hash_api_key(request.key)
+    )
     if key is None or key.withdrawn:
         # A process that knows too little must not say that a key is unknown.
         check_fresh(dependencies)
@@ -141,8 +143,11 @@
     Raises:
         BuckthornstileError: ``CONFIGURATION_OLD``.
     """
-    if dependencies.settings.fails_closed and not dependencies.watch.is_fresh():
-        age = dependencies.watch.get_staleness()
+    if (
+        dependencies.settings.fails_closed
+        and not dependencies.configuration_watcher.is_fresh()
+    ):
+        age = dependencies.configuration_watcher.get_staleness()
         raise BuckthornstileError(
             ErrorCode.CONFIGURATION_OLD,
             f"the configuration is {age:.1f} s old, too old to act on",
--- a/buckthornstile/api/_handlers.py
+++ b/buckthornstile/api/_handlers.py
@@ -40,7 +40,7 @@
                 error=error.code.value,
                 reason=error.message,
                 verdict=error.verdict.value,
-                revision=self.dependencies.watch.current.revision,
-                store_age=self.dependencies.watch.get_staleness(),
+                revision=self.dependencies.configuration_watcher.current.revision,
+                store_age=self.dependencies.configuration_watcher.get_staleness(),
             )
             return make_api_error(error)
--- a/buckthornstile/api/_lot_attachment.py
+++ b/buckthornstile/api/_lot_attachment.py
@@ -68,7 +68,7 @@
         jobs = self.dependencies.jobs
         part = jobs.find_partition(attach.authorization.account.name)
         end = self.dependencies.clock() + JOB_WAIT
-        jobs.follow(part)
+        jobs.request_partition(part)
         while not jobs.is_consumed(part):
             if self.dependencies.clock() > end:
                 raise BuckthornstileError(
@@ -154,4 +154,6 @@
         name = make_trainer_name(
             attach.authorization.account.name, attach.specification.trainer
         )
-        return attach.get_minimum(self.dependencies.watch.get_trainer_version(name))
+        return attach.get_minimum(
+            self.dependencies.configuration_watcher.get_trainer_version(name)
+        )
--- a/buckthornstile/api/_lot_handlers.py
+++ b/buckthornstile/api/_lot_handlers.py
@@ -88,7 +88,7 @@
             raise BuckthornstileError(
                 ErrorCode.BODY_MALFORMED, "version must be a whole number from 0"
             )
-        configuration = self.dependencies.watch.current
+        configuration = self.dependencies.configuration_watcher.current
         rule = configuration.find_rule(
             LOT_PATH, key.account, trainer
         ) or configuration.find_rule(GENERATION_PATH, key.account, trainer)
@@ -96,7 +96,9 @@
         if rule is not None:
             model = find_model(self.dependencies.view, rule.service, trainer)
         name = make_trainer_name(key.account, trainer)
-        await self.dependencies.watch.name_version(name, model, int(str(version)))
+        await self.dependencies.configuration_watcher.publish_version(
+            name, model, int(str(version))
+        )
         return make_json_reply({"version": version})
 
     async def _acknowledge(self, request: ApiRequest, lot: str) -> Response:
@@ -210,7 +212,7 @@
         position = 0
         while attach.missing:
             self._check(attach)
-            self.dependencies.jobs.follow(job.part)
+            self.dependencies.jobs.request_partition(job.part)
             minimum = self.lot_jobs.find_minimum(attach)
             if minimum > job.specification.minimum_version:
                 job, position = await self.lot_jobs.open_job(attach), 0
--- a/buckthornstile/api/_operator_handlers.py
+++ b/buckthornstile/api/_operator_handlers.py
@@ -74,13 +74,13 @@
 
     def _show_status(self, request: ApiRequest) -> Response:
         state = self.read_state()
-        configuration = self.dependencies.watch.current
+        configuration = self.dependencies.configuration_watcher.current
         view = self.dependencies.view
         upstreams = [
             {
                 "upstream": upstream.id,
                 "service": upstream.service,
-                "failure_domain": upstream.zone,
+                "failure_domain": upstream.failure_domain,
                 "draining": upstream.is_draining,
                 "versions": dict(upstream.versions),
             }
@@ -95,7 +95,12 @@
                 "configuration": {
                     "revision": configuration.revision,
                     "offset": configuration.last_offset,
-                    "age": round(min(self.dependencies.watch.get_staleness(), 1e9), 3),
+                    "age": round(
+                        min(
+                            self.dependencies.configuration_watcher.get_staleness(), 1e9
+                        ),
+                        3,
+                    ),
                 },
                 "control": {
                     "is_holder": state.is_holder,
@@ -103,7 +108,7 @@
                     "holder": state.holder,
                 },
                 "entries": list(state.entries),
-                "drained": sorted(view.drained | view.evacuated),
+                "drained": sorted(view.drained_domains | view.evacuated_domains),
                 "open_calls": self.dependencies.admission.open,
                 "jobs": state.jobs,
                 "upstreams": upstreams,
--- a/buckthornstile/api/_revocation.py
+++ b/buckthornstile/api/_revocation.py
@@ -21,7 +21,7 @@
         self.find_error = find_error
         self._running: dict[asyncio.Future[BuckthornstileError], KeyId] = {}
 
-    def check_all(self) -> None:
+    def cancel_revoked(self) -> None:
         """Ends all work under keys that do not work any more."""
         for ended, key in list(self._running.items()):
             error = self.find_error(key)
--- a/buckthornstile/client/_session.py
+++ b/buckthornstile/client/_session.py
@@ -137,7 +137,9 @@
         self._retry_after = 0.0
         self.attach_count += 1
         self._vain_attaches += 1
-        self.attach = AttachAttempt(self.received.begin_attach(), self.entry, delay)
+        self.attach = AttachAttempt(
+            self.received.make_attach_request(), self.entry, delay
+        )
         return self.attach
 
     def on_stream_failed(
--- a/buckthornstile/commands/_queries.py
+++ b/buckthornstile/commands/_queries.py
@@ -108,12 +108,12 @@
         try:
             data = await store.read(DUTY_TOPIC, 0, position)
         except OffsetOutOfRangeError as error:
-            position = error.first
+            position = error.first_offset
             continue
         for offset, record in data.records:
             fold.apply(offset, decode_duty_record(record))
         position = data.next_offset
-        if position >= data.end:
+        if position >= data.end_offset:
             return fold.seals
 
 
--- a/buckthornstile/commands/_submit.py
+++ b/buckthornstile/commands/_submit.py
@@ -60,7 +60,7 @@
         self.store = store
         self.timeout = timeout
         self.state = ConfigurationState()
-        self.end = 0
+        self.end_offset = 0
 
     async def read(self) -> Configuration:
         """Reads the newest configuration.
@@ -70,7 +70,7 @@
             BuckthornstileError: ``CONFIGURATION_INVALID``: a record is malformed.
         """
         while True:
-            records, self.end = await self.store.read_latest(
+            records, self.end_offset = await self.store.read_latest(
                 CONFIGURATION_TOPIC, 0, timeout=self.timeout
             )
             fold = ConfigurationState()
@@ -83,7 +83,7 @@
                     f"the store holds a malformed record: {error}",
                 ) from None
             # Pages are no snapshot: a change between them shows as a later record.
-            if all(record.offset < self.end for record in records):
+            if all(record.offset < self.end_offset for record in records):
                 fold.commit()
                 self.state = fold
                 return fold.current
@@ -100,7 +100,7 @@
             for record in encode_change(change)
         ]
         await self.store.append(
-            CONFIGURATION_TOPIC, 0, records, at=self.end, timeout=self.timeout
+            CONFIGURATION_TOPIC, 0, records, at=self.end_offset, timeout=self.timeout
         )
 
 
--- a/buckthornstile/consumers/_partition_consumer.py
+++ b/buckthornstile/consumers/_partition_consumer.py
@@ -39,8 +39,8 @@
         topic: The topic.
         part: Its partition.
         clock: Gives the time in seconds; it must go on while suspended.
-        wait: Seconds that the store may hold a read without a record.
-        pause: Seconds between two reads, to fetch several records at once.
+        max_wait: Seconds that the store may hold a read without a record.
+        poll_interval: Seconds between two reads, to fetch several records at once.
         on_record: Called with each record of a keyed topic.
         on_snapshot: Called with the newest record of each key, at the start and after
             history was dropped; None for a topic without keys.
@@ -57,8 +57,8 @@
         part: int,
         *,
         clock: Callable[[], float],
-        wait: float,
-        pause: float = 0.0,
+        max_wait: float,
+        poll_interval: float = 0.0,
         on_record: OnRecord | None = None,
         on_snapshot: OnSnapshot | None = None,
         on_raw_record: Callable[[int, bytes], None] | None = None,
@@ -69,16 +69,16 @@
         self.topic = topic
         self.part = part
         self.clock = clock
-        self.wait = wait
-        self.pause = pause
+        self.max_wait = max_wait
+        self.poll_interval = poll_interval
         self.on_record = on_record
         self.on_snapshot = on_snapshot
         self.on_raw_record = on_raw_record
         self.on_caught_up = on_caught_up
         self.ordered = ordered
         self.synced_at = -1e9
-        self.end = 0
-        self.lost_at: float | None = clock()
+        self.end_offset = 0
+        self.disconnected_at: float | None = clock()
         self.reconnected_at = -1e9
         self._next: int | None = None
         self._pages: LatestRecords | None = None
@@ -115,7 +115,7 @@
                 await self._read_once()
             except OffsetOutOfRangeError as error:
                 log_event("store.history_dropped", topic=self.topic, part=self.part)
-                self._next = None if self.on_snapshot else error.first
+                self._next = None if self.on_snapshot else error.first_offset
                 continue
             except (BuckthornstileError, ValueError, KeyError, TypeError) as error:
                 self._note_failure(error)
@@ -124,8 +124,8 @@
                 continue
             retry = FIRST_RETRY
             self._note_success(sent_at)
-            if self.pause and not self._read_waiters:
-                await self._sleep(self.pause)
+            if self.poll_interval and not self._read_waiters:
+                await self._sleep(self.poll_interval)
 
     async def _sleep(self, seconds: float) -> None:
         self._hurry.clear()
@@ -136,7 +136,7 @@
             return
 
     async def _read_once(self) -> None:
-        wait = 0.0 if self._read_waiters else self.wait
+        wait = 0.0 if self._read_waiters else self.max_wait
         if self._next is None:
             if self.on_snapshot is None:
                 self._next = 0
@@ -151,7 +151,7 @@
         for offset, record in data.records:
             self._apply(offset, record)
         self._next = max(self._next, data.next_offset)
-        self.end = data.end
+        self.end_offset = data.end_offset
 
     async def _load(self) -> int:
         """Reads the newest record of each key; pages that were read are kept.
@@ -169,10 +169,10 @@
         records = pages.records
         if self.ordered:
             # Later pages show later records, but not all that lie between.
-            records = [record for record in records if record.offset < pages.end]
+            records = [record for record in records if record.offset < pages.end_offset]
         self.on_snapshot(records)
-        self.end = pages.end
-        return pages.end
+        self.end_offset = pages.end_offset
+        return pages.end_offset
 
     def _apply(self, offset: int, record: bytes) -> None:
         if self.on_raw_record is not None:
@@ -187,8 +187,8 @@
         self.on_record(decoded)
 
     def _note_failure(self, error: Exception) -> None:
-        if self.lost_at is None:
-            self.lost_at = self.clock()
+        if self.disconnected_at is None:
+            self.disconnected_at = self.clock()
             log_event(
                 "store.lost",
                 topic=self.topic,
@@ -200,16 +200,16 @@
             log_event("store.read_failed", topic=self.topic, reason=repr(error))
 
     def _note_success(self, sent_at: float) -> None:
-        if self.lost_at is not None:
+        if self.disconnected_at is not None:
             log_event(
                 "store.regained",
                 topic=self.topic,
                 part=self.part,
-                away=self.clock() - self.lost_at,
+                away=self.clock() - self.disconnected_at,
             )
-            self.lost_at = None
+            self.disconnected_at = None
             self.reconnected_at = self.clock()
-        if self._next is None or self._next < self.end:
+        if self._next is None or self._next < self.end_offset:
             return
         self.synced_at = sent_at
         kept = []
--- a/buckthornstile/consumers/tests/test_partition_consumer.py
+++ b/buckthornstile/consumers/tests/test_partition_consumer.py
@@ -27,7 +27,7 @@
         if number in self.fails_at:
             self.fails_at.remove(number)
             raise PlatformUnavailableError("the store gave no answer in time")
-        pages.end = pages.end if pages.end >= 0 else 10
+        pages.end_offset = pages.end_offset if pages.end_offset >= 0 else 10
         pages.records.append(KeyedRecord(number, f"k{number}", b"v"))
         pages.is_complete = number == PAGES - 1
 
@@ -47,7 +47,7 @@
         "keyed.t",
         0,
         clock=time.monotonic,
-        wait=0.0,
+        max_wait=0.0,
         on_record=lambda record: None,
         on_snapshot=loaded.append,
     )
@@ -88,7 +88,7 @@
 
     async def read_latest_page(self, topic, part, pages, *, timeout):
         if not pages.records:
-            pages.end = len(self.log)
+            pages.end_offset = len(self.log)
             pages.records.append(self.log[0])
             # The first lies in the page that was read, the second in the next one.
             self.log += [KeyedRecord(2, "a", b"v"), KeyedRecord(3, "z", b"v")]
@@ -117,7 +117,7 @@
         "keyed.t",
         0,
         clock=time.monotonic,
-        wait=0.0,
+        max_wait=0.0,
         on_record=lambda record: seen.append(record.offset),
         on_snapshot=note,
         ordered=True,
--- a/buckthornstile/duties/tests/test_model_loads.py
+++ b/buckthornstile/duties/tests/test_model_loads.py
@@ -1,7 +1,12 @@
 """Which engine loads which version, and when."""
 
 from buckthornstile.duties import ModelLoadPlanner, PlannedModelLoad
-from buckthornstile.topology import Configuration, Service, TopologyView, Upstream
+from buckthornstile.topology import (
+    PlatformConfiguration,
+    Service,
+    TopologyView,
+    Upstream,
+)
 
 
 class World:
@@ -12,7 +17,9 @@
         self.view = TopologyView()
         self.models = tuple(f"m{number}" for number in range(models))
         service = Service("engines", models=self.models)
-        self.view.apply_configuration(Configuration(1, services={"engines": service}))
+        self.view.apply_configuration(
+            PlatformConfiguration(1, services={"engines": service})
+        )
         self.versions = {
             f"e{number}": dict.fromkeys(self.models, 1) for number in range(engines)
         }
--- a/buckthornstile/duties/tests/test_orders_machine.py
+++ b/buckthornstile/duties/tests/test_orders_machine.py
@@ -11,7 +11,12 @@
 )
 
 from buckthornstile.duties import ModelLoadPlanner, PlannedModelLoad
-from buckthornstile.topology import Configuration, Service, TopologyView, Upstream
+from buckthornstile.topology import (
+    PlatformConfiguration,
+    Service,
+    TopologyView,
+    Upstream,
+)
 
 MODELS = ("m0", "m1")
 ENGINES = ("i0", "i1", "i2")
@@ -70,7 +75,9 @@
     def restart(self, holder: str) -> None:
         view = self.views[holder] = TopologyView()
         service = Service("engines", models=MODELS)
-        view.apply_configuration(Configuration(1, services={"engines": service}))
+        view.apply_configuration(
+            PlatformConfiguration(1, services={"engines": service})
+        )
         for number, name in enumerate(ENGINES):
             upstream = Upstream(name, "engines", "127.0.0.1", 9000 + number, "a", 8)
             view.apply_upstream(upstream, 0.0)
--- a/buckthornstile/entry/_components.py
+++ b/buckthornstile/entry/_components.py
@@ -48,9 +48,9 @@
     """What knows upstreams and sends them requests."""
 
     balancer: LoadBalancer
-    watch: TopologyWatcher
+    topology_watcher: TopologyWatcher
     sender: CallSender
-    relay: StreamProxy
+    stream_proxy: StreamProxy
 
 
 def make_upstream_components(
--- a/buckthornstile/entry/_daemon.py
+++ b/buckthornstile/entry/_daemon.py
@@ -105,7 +105,9 @@
             lambda: self.presence_publisher.presence.list_addresses(self.name),
             random.Random(name),
         )
-        self.store = StoreClient(settings.store_address, path=self.proxy_selector)
+        self.store = StoreClient(
+            settings.store_address, proxy_selector=self.proxy_selector
+        )
         self.store_proxy = StoreProxy(self.store, self.proxy_selector)
         self.pool = ConnectionPool()
         self.resources = SharedResources(
@@ -126,7 +128,7 @@
             clock=self.clock,
             wall_clock=self.get_wall_time,
             list_unpublished_versions=lambda: (
-                self.control.orders.list_unpublished_versions()
+                self.control.load_dispatcher.list_unpublished_versions()
             ),
         )
         self.presence = self.presence_publisher.presence
@@ -153,9 +155,9 @@
             return False
         ages = []
         if self.settings.client_address:
-            if not self.watch.is_loaded():
+            if not self.topology_watcher.is_loaded():
                 return False
-            ages.append(self.watch.operator.get_staleness())
+            ages.append(self.topology_watcher.operator.get_staleness())
         if self.configuration is not None:
             if not self.configuration.is_loaded:
                 return False
@@ -206,7 +208,7 @@
 
     def _list_work(self) -> list[Callable[[], Awaitable[None]]]:
         work: list[Callable[[], Awaitable[None]]] = [
-            self.watch.run,
+            self.topology_watcher.run,
             self.jobs.run,
             self.control.run,
             self.owner.run,
@@ -225,8 +227,8 @@
             on_change=self._note_topology,
             on_executed=self._count_run,
         )
-        self.balancer, self.watch = side.balancer, side.watch
-        self.sender, self.relay = side.sender, side.relay
+        self.balancer, self.topology_watcher = side.balancer, side.topology_watcher
+        self.sender, self.stream_proxy = side.sender, side.stream_proxy
 
     def _make_jobs(self) -> None:
         self.assignment = PartitionAssignment(self.name, self.presence)
@@ -239,7 +241,7 @@
         dependencies = JobDependencies(
             view=self.view,
             balancer=self.balancer,
-            streams=ItemRunner(self.balancer, self.pool),
+            item_runner=ItemRunner(self.balancer, self.pool),
             sender=self.sender,
             store=self.jobs,
             metrics=self.metrics,
@@ -251,7 +253,7 @@
             self.presence,
             assignment=self.assignment,
             clock=self.clock,
-            lifetime=self.settings.result_lifetime,
+            result_lifetime=self.settings.result_lifetime,
             is_withdrawn=self._is_withdrawn,
         )
 
@@ -267,9 +269,9 @@
         handlers = ClientHandlers(
             HandlerDependencies(
                 view=self.view,
-                watch=self.watch,
+                topology_watcher=self.topology_watcher,
                 sender=self.sender,
-                relay=self.relay,
+                stream_proxy=self.stream_proxy,
                 jobs=self.jobs,
                 clock=self.clock,
                 wall_clock=self.get_wall_time,
@@ -306,8 +308,8 @@
             self.view,
             clock=self.clock,
             key_bound=settings.key_bound,
-            read_upstream_age=self.watch.upstreams.get_staleness,
-            on_change=self.revocation.check_all,
+            read_upstream_age=self.topology_watcher.upstreams.get_staleness,
+            on_change=self.revocation.cancel_revoked,
         )
         self.admission = AdmissionController(
             self._count_places, self.clock, maximum_open=settings.max_open_calls
@@ -315,9 +317,9 @@
         dependencies = ApiDependencies(
             settings=settings,
             view=self.view,
-            watch=self.configuration,
+            configuration_watcher=self.configuration,
             sender=self.sender,
-            relay=self.relay,
+            stream_proxy=self.stream_proxy,
             jobs=self.jobs,
             admission=self.admission,
             revocation=self.revocation,
@@ -377,7 +379,7 @@
             "upstreams_known": len(self.view.upstreams),
             "configuration_version": getattr(self.view.configuration, "version", 0),
             "configuration_revision": revision,
-            "configuration_age_seconds": self.watch.operator.get_staleness(),
+            "configuration_age_seconds": self.topology_watcher.operator.get_staleness(),
             "jobs_age_seconds": self.jobs.get_staleness(),
             "holds_lease": float(self.control.lease_manager.lease.is_held()),
             "ready": float(self.is_ready()),
@@ -406,7 +408,10 @@
 
     def _may_load_jobs(self) -> bool:
         """Whether what calls need is read, so that jobs may be loaded beside it."""
-        is_read = self.watch.operator.is_loaded and self.watch.upstreams.is_loaded
+        is_read = (
+            self.topology_watcher.operator.is_loaded
+            and self.topology_watcher.upstreams.is_loaded
+        )
         return is_read and self.presence_publisher.is_presence_known()
 
     def _note_job(self, job: Job) -> None:
@@ -455,7 +460,7 @@
     async def _check_keys(self) -> None:
         while True:
             await asyncio.sleep(KEY_CHECK_PERIOD)
-            self.revocation.check_all()
+            self.revocation.cancel_revoked()
 
     async def _drain(self) -> None:
         log_event(
--- a/buckthornstile/entry/_presence_publisher.py
+++ b/buckthornstile/entry/_presence_publisher.py
@@ -72,8 +72,8 @@
             PRESENCE_TOPIC,
             0,
             clock=clock,
-            wait=PRESENCE_WAIT,
-            pause=PRESENCE_PAUSE,
+            max_wait=PRESENCE_WAIT,
+            poll_interval=PRESENCE_PAUSE,
             on_raw_record=self._apply,
             on_caught_up=self.presence.on_caught_up,
         )
@@ -113,7 +113,7 @@
             is_leaving=self.is_leaving,
             counts=self.counter.get_counts(now),
             versions=self.list_unpublished_versions(),
-            zone=self.settings.failure_domain,
+            failure_domain=self.settings.failure_domain,
             address=self.address,
             made_at=now,
         )
--- a/buckthornstile/entry/tests/test_calls.py
+++ b/buckthornstile/entry/tests/test_calls.py
@@ -51,7 +51,7 @@
     assert route is not None
     deadline = asyncio.get_running_loop().time() + 2
     call = RoutedCall(request, route, AccountId("mill"), deadline, check)
-    for send in (entry.sender.send, entry.relay.open):
+    for send in (entry.sender.send, entry.stream_proxy.open):
         with pytest.raises(BuckthornstileError) as caught:
             await send(call)
         assert caught.value.code is ErrorCode.CONFIGURATION_OLD
--- a/buckthornstile/entry/tests/test_configuration.py
+++ b/buckthornstile/entry/tests/test_configuration.py
@@ -83,7 +83,9 @@
     await asyncio.sleep(1.2)
     worker.remove_entry()
     deployment.start_store()
-    await deployment.wait_for(lambda: entry.watch.upstreams.lost_at is None)
+    await deployment.wait_for(
+        lambda: entry.topology_watcher.upstreams.disconnected_at is None
+    )
     assert (await deployment.call("e1", "r1")).status == 200
     await deployment.wait_for(lambda: "w1" not in entry.view.upstreams, timeout=4.0)
     assert (await deployment.call("e1", "r2")).status == 503
@@ -133,7 +135,7 @@
 ) -> None:
     """After an outage one entry may read again seconds before another appends."""
     entry = await deployment.add_entry("e1")
-    presence, reports = entry.presence, entry.control.reports
+    presence, reports = entry.presence, entry.control.usage_reporter
     other = ProcessName("e2#1")
     presence.apply(PresenceRecord(other, "e2"))
     presence.clock = lambda: entry.clock() + 2 * PRESENCE_TIMEOUT
--- a/buckthornstile/entry/tests/test_load_balancer.py
+++ b/buckthornstile/entry/tests/test_load_balancer.py
@@ -4,7 +4,12 @@
 
 from buckthornstile.gateway._load_balancer import LoadBalancer
 from buckthornstile.messages import UpstreamLoad
-from buckthornstile.topology import Configuration, Service, TopologyView, Upstream
+from buckthornstile.topology import (
+    PlatformConfiguration,
+    Service,
+    TopologyView,
+    Upstream,
+)
 
 RATE, OVERAGE, SLACK = 22.0, 1.5, 5.0
 
@@ -16,7 +21,9 @@
         self.now = 100.0
         self.view = TopologyView()
         service = Service("desk", cold_rate=RATE, cold_start=3.0)
-        self.view.apply_configuration(Configuration(1, services={"desk": service}))
+        self.view.apply_configuration(
+            PlatformConfiguration(1, services={"desk": service})
+        )
         for number in range(upstreams):
             upstream = Upstream(
                 f"w{number}", "desk", "127.0.0.1", number, "a", 4, cold_remaining=cold
@@ -50,11 +57,11 @@
     for _ in range(60):
         deployment.now += 0.05
         for balancer in deployment.fleets:
-            upstream = balancer.choose("desk")
+            upstream = balancer.pick("desk")
             while upstream is not None:
                 balancer.acquire_permit(upstream).release()
                 starts.append(deployment.now)
-                upstream = balancer.choose("desk")
+                upstream = balancer.pick("desk")
     assert starts
     for first in starts:
         within = [at for at in starts if first <= at < first + 1.0]
@@ -64,7 +71,7 @@
 def test_warm_upstream_has_no_such_bound() -> None:
     deployment = InProcessDeployment(upstreams=1)
     for _ in range(200):
-        upstream = deployment.balancer.choose("desk")
+        upstream = deployment.balancer.pick("desk")
         assert upstream is not None
         deployment.balancer.acquire_permit(upstream).release()
 
@@ -73,11 +80,11 @@
     deployment = InProcessDeployment()
     for name in ("w0", "w1"):
         deployment.balancer.acquire_permit(deployment.get(name))
-    assert deployment.balancer.choose("desk").id == "w2"
+    assert deployment.balancer.pick("desk").id == "w2"
     deployment.balancer.record_load(deployment.get("w2"), UpstreamLoad(4, 3, 4))
-    assert deployment.balancer.choose("desk").id != "w2"
+    assert deployment.balancer.pick("desk").id != "w2"
     deployment.now += 1.0
-    assert deployment.balancer.choose("desk").id == "w2"
+    assert deployment.balancer.pick("desk").id == "w2"
 
 
 def test_slow_upstream_gets_less() -> None:
@@ -86,7 +93,7 @@
         deployment.balancer.record_latency(deployment.get(name), pace)
     chosen = []
     for _ in range(6):
-        upstream = deployment.balancer.choose("desk")
+        upstream = deployment.balancer.pick("desk")
         deployment.balancer.acquire_permit(upstream)
         chosen.append(upstream.id)
     assert chosen.count("w0") <= 1
@@ -97,32 +104,32 @@
 def test_failed_upstream_is_left_for_a_while_but_not_for_ever() -> None:
     deployment = InProcessDeployment(upstreams=2)
     deployment.balancer.record_failure(deployment.get("w0"))
-    assert {deployment.balancer.choose("desk").id for _ in range(5)} == {"w1"}
+    assert {deployment.balancer.pick("desk").id for _ in range(5)} == {"w1"}
     for _ in range(20):
         deployment.balancer.record_failure(deployment.get("w0"))
     deployment.now += 3.1
     deployment.balancer.acquire_permit(deployment.get("w1"))
-    assert deployment.balancer.choose("desk").id == "w0"
+    assert deployment.balancer.pick("desk").id == "w0"
 
 
 def test_failed_upstreams_are_better_than_none() -> None:
     deployment = InProcessDeployment(upstreams=1)
     deployment.balancer.record_failure(deployment.get("w0"))
-    assert deployment.balancer.choose("desk").id == "w0"
+    assert deployment.balancer.pick("desk").id == "w0"
 
 
 def test_preferred_upstream_is_kept_while_it_is_hardly_more_loaded() -> None:
     deployment = InProcessDeployment()
     for _ in range(3):
-        upstream = deployment.balancer.choose("desk", preferred="w2")
+        upstream = deployment.balancer.pick("desk", preferred="w2")
         assert upstream.id == "w2"
         deployment.balancer.acquire_permit(upstream)
-    assert deployment.balancer.choose("desk", preferred="w2").id != "w2"
+    assert deployment.balancer.pick("desk", preferred="w2").id != "w2"
     for name in ("w0", "w1"):
         deployment.balancer.acquire_permit(deployment.get(name))
-    assert deployment.balancer.choose("desk", preferred="w2").id == "w2"
+    assert deployment.balancer.pick("desk", preferred="w2").id == "w2"
     deployment.balancer.record_failure(deployment.get("w2"))
-    assert deployment.balancer.choose("desk", preferred="w2").id != "w2"
+    assert deployment.balancer.pick("desk", preferred="w2").id != "w2"
 
 
 def test_place_is_released_once() -> None:
@@ -130,4 +137,4 @@
     place = deployment.balancer.acquire_permit(deployment.get("w0"))
     place.release()
     place.release()
-    assert deployment.balancer.get(deployment.get("w0")).open == 0
+    assert deployment.balancer.get_stats(deployment.get("w0")).open == 0
--- a/buckthornstile/entry/tests/test_store_proxy.py
+++ b/buckthornstile/entry/tests/test_store_proxy.py
@@ -41,9 +41,9 @@
     assert {one["text"] for one in results} == {make_text(f"i{n}", 60) for n in (0, 1)}
     job = deployment.entries[other].jobs.table.find("j1")
     assert (job.claim.owner, job.claim.epoch) == (owner.name, 1)
-    assert owner.proxy_selector.is_lost
+    assert owner.proxy_selector.is_direct_path_lost
     owner.store.address = address
-    await deployment.wait_for(lambda: not owner.proxy_selector.is_lost)
+    await deployment.wait_for(lambda: not owner.proxy_selector.is_direct_path_lost)
 
 
 @with_deployment
@@ -77,13 +77,13 @@
         path = StoreProxySelector(
             relay.clock, lambda: [relay.settings.peer_address], random.Random(7)
         )
-        path.is_lost = True
-        store = StoreClient("127.0.0.1:1", path=path)
+        path.is_direct_path_lost = True
+        store = StoreClient("127.0.0.1:1", proxy_selector=path)
         assert await store.append("t", 0, [b"a"]) == 0
         if silent:
             deployment.faults.add({"kind": "silent", "seconds": 30})
         else:
-            relay.store_proxy.path = path
+            relay.store_proxy.selector = path
         with pytest.raises(PlatformUnavailableError) as caught:
             await store.append("t", 0, [b"a"], timeout=0.4)
         assert caught.value.may_have_taken_effect is silent
@@ -98,10 +98,10 @@
     await add_entries(deployment)
     await deployment.stop_store()
     paths = [entry.proxy_selector for entry in deployment.entries.values()]
-    await deployment.wait_for(lambda: all(path.is_lost for path in paths))
+    await deployment.wait_for(lambda: all(path.is_direct_path_lost for path in paths))
     deployment.start_store()
     await deployment.wait_for(
-        lambda: not any(path.is_lost for path in paths), timeout=3.0
+        lambda: not any(path.is_direct_path_lost for path in paths), timeout=3.0
     )
     await deployment.wait_for(
         lambda: all(one.is_ready() for one in deployment.entries.values())
--- a/buckthornstile/gateway/_call_sender.py
+++ b/buckthornstile/gateway/_call_sender.py
@@ -147,7 +147,7 @@
 
     def _start(self) -> bool:
         balancer = self.sender.balancer
-        upstream = balancer.choose(self.service, avoided=self.tried)
+        upstream = balancer.pick(self.service, avoided=self.tried)
         if upstream is None:
             return False
         is_hedge = bool(self.running)
--- a/buckthornstile/gateway/_handlers.py
+++ b/buckthornstile/gateway/_handlers.py
@@ -30,7 +30,7 @@
     StreamingResponse,
 )
 from buckthornstile.platform import ResourceKind, decode_job, encode_results, parse_path
-from buckthornstile.topology import Account, Route, RouteKind, TopologyView
+from buckthornstile.topology import PlatformAccount, Route, RouteKind, TopologyView
 
 KEY_BOUND_FRACTION = 0.9
 """Share of the bound on withdrawn keys for which keys are trusted unseen."""
@@ -52,9 +52,9 @@
     """What the handlers use."""
 
     view: TopologyView
-    watch: TopologyWatcher
+    topology_watcher: TopologyWatcher
     sender: CallSender
-    relay: StreamProxy
+    stream_proxy: StreamProxy
     jobs: JobStore
     clock: Callable[[], float]
     wall_clock: Callable[[], float]
@@ -101,7 +101,7 @@
                 configuration=getattr(
                     self.dependencies.view.configuration, "version", None
                 ),
-                store_age=self.dependencies.watch.operator.get_staleness(),
+                store_age=self.dependencies.topology_watcher.operator.get_staleness(),
             )
             return reply
 
@@ -110,7 +110,7 @@
         if subject in (ResourceKind.JOB, ResourceKind.ITEM):
             return await self._serve_or_forward(request)
         route = self._find_route(request)
-        account = self._authenticate(request, route.is_open)
+        account = self._authenticate(request, route.allows_anonymous)
         if route.kind is RouteKind.ROLLOUT:
             return await self._submit(request, route, account)
         return await self._call(request, route, account)
@@ -133,7 +133,7 @@
 
     def _authenticate(
         self, request: ClientRequest, is_open: bool = False
-    ) -> Account | None:
+    ) -> PlatformAccount | None:
         view = self.dependencies.view
         configuration = view.configuration
         if configuration is None:
@@ -144,7 +144,7 @@
             )
         if is_open or not configuration.accounts:
             return None
-        age = self.dependencies.watch.operator.get_staleness()
+        age = self.dependencies.topology_watcher.operator.get_staleness()
         if (
             self.dependencies.fails_closed
             and age > KEY_BOUND_FRACTION * self.dependencies.key_bound
@@ -164,7 +164,7 @@
     # Calls
 
     async def _call(
-        self, request: ClientRequest, route: Route, account: Account | None
+        self, request: ClientRequest, route: Route, account: PlatformAccount | None
     ) -> Response | StreamingResponse:
         if not request.id:
             raise BuckthornstileError(ErrorCode.HEADER_INVALID, "the request has no id")
@@ -183,7 +183,7 @@
             started_at + time,
         )
         if route.is_streaming:
-            return await self.dependencies.relay.open(planned)
+            return await self.dependencies.stream_proxy.open(planned)
         answer = await self.dependencies.sender.send(planned)
         self.dependencies.metrics.record_call(
             account.name if account else OPEN_ACCOUNT, loop.time() - started_at
@@ -201,7 +201,7 @@
     # Batch jobs
 
     async def _submit(
-        self, request: ClientRequest, route: Route, account: Account | None
+        self, request: ClientRequest, route: Route, account: PlatformAccount | None
     ) -> Response:
         owner = _get_name(account)
         known = self.dependencies.jobs.table.find(JobId(request.id))
@@ -238,7 +238,7 @@
             return await self.dependencies.peers.forward(request, part)
         except BuckthornstileError:
             # Followed from now on, it is known here when the client comes again.
-            jobs.follow(part)
+            jobs.request_partition(part)
             raise
 
     async def _serve_job(self, request: ClientRequest) -> Response:
@@ -261,7 +261,7 @@
         )
 
     async def _handle_job(
-        self, request: ClientRequest, job_id: JobId, account: Account | None
+        self, request: ClientRequest, job_id: JobId, account: PlatformAccount | None
     ) -> Response:
         if request.method == "DELETE":
             return await self._end_job(job_id, account)
@@ -280,7 +280,7 @@
         return Response(200, body, (("Content-Type", "application/json"),))
 
     async def _read_item(
-        self, request: ClientRequest, job_id: JobId, account: Account | None
+        self, request: ClientRequest, job_id: JobId, account: PlatformAccount | None
     ) -> Response:
         job = await self._find_job(job_id, account)
         names = parse_qs(request.query).get("id", [""])
@@ -291,14 +291,16 @@
             ErrorCode.LOT_UNKNOWN, f"job {job_id!r} has no open item {names[0]!r}"
         )
 
-    async def _end_job(self, job_id: JobId, account: Account | None) -> Response:
+    async def _end_job(
+        self, job_id: JobId, account: PlatformAccount | None
+    ) -> Response:
         job = await self._find_job(job_id, account)
         if not job.ended:
             await self.dependencies.jobs.end(job)
             log_event("job.ended", job=job_id, listed=len(job.results))
         return Response(200)
 
-    async def _find_job(self, job_id: JobId, account: Account | None) -> Job:
+    async def _find_job(self, job_id: JobId, account: PlatformAccount | None) -> Job:
         table = self.dependencies.jobs.table
         job = table.find(job_id)
         if job is None:
@@ -360,7 +362,7 @@
     return Response(status, body, (("Content-Type", "text/plain"),), error.retry_after)
 
 
-def _get_name(account: Account | None) -> AccountId:
+def _get_name(account: PlatformAccount | None) -> AccountId:
     return account.name if account else AccountId("")
 
 
--- a/buckthornstile/gateway/_item_execution.py
+++ b/buckthornstile/gateway/_item_execution.py
@@ -36,7 +36,7 @@
 
     view: TopologyView
     balancer: LoadBalancer
-    streams: ItemRunner
+    item_runner: ItemRunner
     sender: CallSender
     store: JobStore
     metrics: GatewayMetrics
@@ -115,7 +115,7 @@
             self.began_at = dependencies.clock()
         events_before = len(self.progress.events)
         specification = self.context.job.specification
-        end = await dependencies.streams.run(
+        end = await dependencies.item_runner.run(
             self.item,
             upstream,
             self.progress,
--- a/buckthornstile/gateway/_job_manager.py
+++ b/buckthornstile/gateway/_job_manager.py
@@ -36,7 +36,7 @@
         presence: Which processes live.
         assignment: Which of them follow which partitions.
         clock: The time in seconds; it must go on while suspended.
-        lifetime: Seconds for which a job's results stay readable.
+        result_lifetime: Seconds for which a job's results stay readable.
         is_withdrawn: Tells whether work under a key must stop.
     """
 
@@ -48,7 +48,7 @@
         *,
         assignment: PartitionAssignment,
         clock: Callable[[], float],
-        lifetime: float,
+        result_lifetime: float,
         is_withdrawn: Callable[[KeyId], bool],
     ) -> None:
         self.assignment = assignment
@@ -57,7 +57,7 @@
         self.dependencies = dependencies
         self.presence = presence
         self.clock = clock
-        self.lifetime = lifetime
+        self.result_lifetime = result_lifetime
         self.is_leaving = False
         self._runners: dict[JobId, JobRunner] = {}
         self._claimed_at: dict[JobId, float] = {}
@@ -87,7 +87,7 @@
         ]
         chosen = choose_owner(specification, assignment)
         if chosen is None:
-            self.dependencies.store.follow(part)
+            self.dependencies.store.request_partition(part)
         return chosen or self.name
 
     def count_running(self) -> int:
@@ -171,7 +171,7 @@
 
     def _is_orphan(self, job: Job, live: list[ProcessName]) -> bool:
         age = self.clock() - job.started_at
-        is_over = job.is_finished() or age > job.get_lifetime(self.lifetime)
+        is_over = job.is_finished() or age > job.get_lifetime(self.result_lifetime)
         if is_over or self._has_lost_key(job):
             return False
         if job.claim is None:
@@ -189,7 +189,9 @@
         if now - self._dropped_at < DROP_PERIOD:
             return
         self._dropped_at = now
-        for job in self.dependencies.store.table.list_expired(now, self.lifetime):
+        for job in self.dependencies.store.table.list_expired(
+            now, self.result_lifetime
+        ):
             if not self._is_chosen(job):
                 continue
             try:
--- a/buckthornstile/gateway/_job_runner.py
+++ b/buckthornstile/gateway/_job_runner.py
@@ -172,7 +172,7 @@
             return None
         balancer = self.dependencies.balancer
         group = work.item.group
-        upstream = balancer.choose(
+        upstream = balancer.pick(
             self.dependencies.sender.choose_service(route),
             avoided=work.avoided,
             allows=lambda one: work.allows(one, route) and balancer.has_capacity(one),
--- a/buckthornstile/gateway/_job_store.py
+++ b/buckthornstile/gateway/_job_store.py
@@ -118,7 +118,7 @@
         """Whether a partition is followed here and was read once."""
         return part in self._following and self.consumers[part].is_loaded
 
-    def follow(self, part: int) -> None:
+    def request_partition(self, part: int) -> None:
         """Asks for a partition to be followed for a while."""
         self._wanted_at[part] = self.clock()
 
@@ -284,8 +284,8 @@
             JOB_TOPIC,
             part,
             clock=self.clock,
-            wait=JOB_WAIT,
-            pause=JOB_PAUSE,
+            max_wait=JOB_WAIT,
+            poll_interval=JOB_PAUSE,
             on_record=apply,
             on_snapshot=apply_newest,
             ordered=True,
--- a/buckthornstile/gateway/_lease_holder_tasks.py
+++ b/buckthornstile/gateway/_lease_holder_tasks.py
@@ -18,28 +18,28 @@
 
     Args:
         lease_manager: Keeps the lease.
-        orders: Orders loads of weights.
-        reports: Reports usage; None where the platform takes no reports.
+        load_dispatcher: Orders loads of weights.
+        usage_reporter: Reports usage; None where the platform takes no reports.
     """
 
     def __init__(
         self,
         lease_manager: LeaseManager,
-        orders: ModelLoadDispatcher,
-        reports: UsageReporter | None,
+        load_dispatcher: ModelLoadDispatcher,
+        usage_reporter: UsageReporter | None,
     ) -> None:
         self.lease_manager = lease_manager
-        self.orders = orders
-        self.reports = reports
+        self.load_dispatcher = load_dispatcher
+        self.usage_reporter = usage_reporter
 
     async def run(self) -> None:
         """Performs the duties until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.lease_manager.consumer.run())
             group.create_task(_repeat(self.lease_manager.keep))
-            group.create_task(_repeat(self.orders.order))
-            if self.reports is not None:
-                group.create_task(_repeat(self.reports.report))
+            group.create_task(_repeat(self.load_dispatcher.order))
+            if self.usage_reporter is not None:
+                group.create_task(_repeat(self.usage_reporter.report))
 
 
 async def _repeat(step: Callable[[], Coroutine[None, None, None]]) -> None:
--- a/buckthornstile/gateway/_lease_manager.py
+++ b/buckthornstile/gateway/_lease_manager.py
@@ -52,7 +52,7 @@
             DUTY_TOPIC,
             0,
             clock=clock,
-            wait=DUTY_WAIT,
+            max_wait=DUTY_WAIT,
             on_raw_record=self._apply,
             on_caught_up=self._note_read,
         )
@@ -122,7 +122,9 @@
             )
 
     def _note_read(self) -> None:
-        self.duty_state.end_offset = max(self.duty_state.end_offset, self.consumer.end)
+        self.duty_state.end_offset = max(
+            self.duty_state.end_offset, self.consumer.end_offset
+        )
         if self.consumer.reconnected_at > self._returned_at:
             self._returned_at = self.consumer.reconnected_at
             self.duty_state.reset_last_record_at()
--- a/buckthornstile/gateway/_load_balancer.py
+++ b/buckthornstile/gateway/_load_balancer.py
@@ -101,7 +101,7 @@
         self.slack = slack
         self._observed: dict[UpstreamId, UpstreamStats] = {}
 
-    def get(self, upstream: Upstream) -> UpstreamStats:
+    def get_stats(self, upstream: Upstream) -> UpstreamStats:
         """Gives what was seen of an upstream's present incarnation."""
         seen = self._observed.get(upstream.id)
         if seen is None or seen.started_at_ms != upstream.started_at_ms:
@@ -114,7 +114,7 @@
             if name not in self.view.upstreams and not self._observed[name].open:
                 del self._observed[name]
 
-    def choose(
+    def pick(
         self,
         service: ServiceName,
         *,
@@ -153,12 +153,12 @@
         self, upstream: Upstream, best: Upstream, now: float, avoided: Collection[str]
     ) -> bool:
         """Whether an upstream is hardly worse than the best one."""
-        seen = self.get(upstream)
+        seen = self.get_stats(upstream)
         if seen.ejected_until > now or seen.refused_until > now:
             return False
         if upstream.id in avoided or not self.has_capacity(upstream):
             return False
-        pace, best_pace = seen.pace, self.get(best).pace
+        pace, best_pace = seen.pace, self.get_stats(best).pace
         if pace and best_pace and pace >= SLOW_RATIO * best_pace:
             return False
         further = self._estimate_load(upstream, now) - self._estimate_load(best, now)
@@ -171,7 +171,7 @@
     def compute_median_latency(self, upstreams: Iterable[Upstream]) -> float | None:
         """Finds the median pace of upstreams that have one."""
         paces = sorted(
-            pace for one in upstreams if (pace := self.get(one).pace) is not None
+            pace for one in upstreams if (pace := self.get_stats(one).pace) is not None
         )
         return paces[(len(paces) - 1) // 2] if paces else None
 
@@ -182,7 +182,7 @@
             one
             for one in self.view.list_available_upstreams(upstream.service)
             if one.id != upstream.id
-            and self.get(one).ejected_until <= now
+            and self.get_stats(one).ejected_until <= now
             and self.has_capacity(one)
         ]
         median = self.compute_median_latency(peers)
@@ -190,7 +190,7 @@
 
     def is_ejected(self, upstream: Upstream) -> bool:
         """Whether an upstream failed so recently that others are better."""
-        return self.get(upstream).ejected_until > self.clock()
+        return self.get_stats(upstream).ejected_until > self.clock()
 
     def _rank(
         self,
@@ -199,7 +199,7 @@
         median: float | None,
         avoided: Collection[UpstreamId],
     ) -> tuple[int, float, int]:
-        seen = self.get(upstream)
+        seen = self.get_stats(upstream)
         penalty = 2 * (upstream.id in avoided) + (seen.ejected_until > now)
         penalty += seen.refused_until > now
         pace = seen.pace if seen.pace is not None else median
@@ -209,7 +209,7 @@
         return (penalty, round(load * slowness, 3), tie)
 
     def _estimate_load(self, upstream: Upstream, now: float) -> float:
-        seen = self.get(upstream)
+        seen = self.get_stats(upstream)
         if seen.load is None or now - seen.load_at > LOAD_LIFETIME:
             return seen.open
         others = seen.load.running + seen.load.waiting - seen.own_at_load
@@ -222,7 +222,7 @@
         rate = self._get_cold_rate(upstream)
         if not rate or not self.view.is_cold(upstream.id, now):
             return True
-        starts = self.get(upstream).starts
+        starts = self.get_stats(upstream).starts
         while starts and starts[0] <= now - COLD_WINDOW:
             starts.popleft()
         return len(starts) < self._get_cold_share(upstream, rate)
@@ -247,7 +247,7 @@
 
     def acquire_permit(self, upstream: Upstream) -> "Permit":
         """Counts a request that is sent now, until its place is released."""
-        seen = self.get(upstream)
+        seen = self.get_stats(upstream)
         seen.open += 1
         if self._get_cold_rate(upstream):
             now = self.clock()
@@ -260,21 +260,21 @@
     def record_load(self, upstream: Upstream, load: UpstreamLoad | None) -> None:
         """Notes what an upstream says of its load."""
         if load is not None:
-            seen = self.get(upstream)
+            seen = self.get_stats(upstream)
             seen.load, seen.load_at = load, self.clock()
             seen.own_at_load = seen.open
 
     def record_activity(self, upstream: Upstream) -> None:
         """Notes that an upstream sent something."""
-        self.get(upstream).active_at = self.clock()
+        self.get_stats(upstream).active_at = self.clock()
 
     def is_active(self, upstream: Upstream) -> bool:
         """Whether an upstream sent something to this process just now."""
-        return self.clock() - self.get(upstream).active_at < ACTIVE_TIME
+        return self.clock() - self.get_stats(upstream).active_at < ACTIVE_TIME
 
     def record_latency(self, upstream: Upstream, seconds: float) -> None:
         """Notes how long a unit of work took."""
-        seen = self.get(upstream)
+        seen = self.get_stats(upstream)
         if seen.pace is None:
             seen.pace = seconds
         else:
@@ -282,16 +282,16 @@
 
     def record_success(self, upstream: Upstream) -> None:
         """Notes a whole answer."""
-        seen = self.get(upstream)
+        seen = self.get_stats(upstream)
         seen.failures, seen.ejected_until = 0, 0.0
 
     def record_failure(self, upstream: Upstream) -> None:
         """Notes an answer that failed or never came."""
-        seen = self.get(upstream)
+        seen = self.get_stats(upstream)
         seen.failures = min(seen.failures + 1, 8)
         seconds = FIRST_EJECTION * 2 ** (seen.failures - 1)
         seen.ejected_until = self.clock() + min(LONGEST_EJECTION, seconds)
 
     def record_refusal(self, upstream: Upstream, seconds: float) -> None:
         """Notes that an upstream had no place."""
-        self.get(upstream).refused_until = self.clock() + seconds
+        self.get_stats(upstream).refused_until = self.clock() + seconds
--- a/buckthornstile/gateway/_metrics.py
+++ b/buckthornstile/gateway/_metrics.py
@@ -28,11 +28,15 @@
 
     def record_call(self, account: AccountId, seconds: float) -> None:
         """Records the time of a call until its answer."""
-        self._record(HistogramMetric.TOTAL, seconds, account, RequestClass.INTERACTIVE)
+        self._record(
+            HistogramMetric.REQUEST_DURATION, seconds, account, RequestClass.INTERACTIVE
+        )
 
     def record_item(self, account: AccountId, seconds: float) -> None:
         """Records the time of an item from its job's submission to its result."""
-        self._record(HistogramMetric.TOTAL, seconds, account, RequestClass.TRAINER)
+        self._record(
+            HistogramMetric.REQUEST_DURATION, seconds, account, RequestClass.TRAINER
+        )
 
     def record_place(self, account: AccountId, seconds: float) -> None:
         """Records how long an item waited for a place at an engine."""
--- a/buckthornstile/gateway/_presence.py
+++ b/buckthornstile/gateway/_presence.py
@@ -38,7 +38,7 @@
     is_leaving: bool = False
     counts: Counts = field(default_factory=dict)
     versions: LoadedVersions = field(default_factory=dict)
-    zone: FailureDomain = FailureDomain("")
+    failure_domain: FailureDomain = FailureDomain("")
     address: str = ""
     made_at: float = 0.0
 
@@ -51,7 +51,7 @@
             self.is_leaving,
             counts,
             dict(self.versions),
-            self.zone,
+            self.failure_domain,
             self.address,
             self.made_at,
         ]
@@ -141,7 +141,7 @@
     def get_failure_domain(self, name: ProcessName) -> FailureDomain:
         """The failure domain of a process, or an empty name."""
         peer = self._peers.get(name)
-        return peer.record.zone if peer is not None else FailureDomain("")
+        return peer.record.failure_domain if peer is not None else FailureDomain("")
 
     def get_address(self, name: ProcessName) -> str:
         """Where a process answers other entries, or an empty address."""
--- a/buckthornstile/gateway/_store_proxy.py
+++ b/buckthornstile/gateway/_store_proxy.py
@@ -37,7 +37,7 @@
         random_source: For the choice between them.
 
     Example:
-        >>> StoreProxySelector(lambda: 0.0, lambda: [], random.Random(7)).choose()
+        >>> StoreProxySelector(lambda: 0.0, lambda: [], random.Random(7)).select_proxy()
         ''
     """
 
@@ -50,13 +50,13 @@
         self.clock = clock
         self.list_proxies = list_proxies
         self.random_source = random_source
-        self.is_lost = False
+        self.is_direct_path_lost = False
         self._succeeded_at = clock()
         self._avoided_until: dict[str, float] = {}
 
-    def choose(self) -> str:
+    def select_proxy(self) -> str:
         """Gives the address of an entry to pass a call on, or "" for the direct way."""
-        if not self.is_lost:
+        if not self.is_direct_path_lost:
             return ""
         now = self.clock()
         relays = [
@@ -72,8 +72,8 @@
             self._avoided_until.pop(relay, None)
             return
         self._succeeded_at = self.clock()
-        if self.is_lost:
-            self.is_lost = False
+        if self.is_direct_path_lost:
+            self.is_direct_path_lost = False
             self._avoided_until.clear()
             log_event("store.path_regained")
 
@@ -82,8 +82,8 @@
         now = self.clock()
         if relay:
             self._avoided_until[relay] = now + AVOID_TIME
-        elif not self.is_lost and now - self._succeeded_at > LOST_TIME:
-            self.is_lost = True
+        elif not self.is_direct_path_lost and now - self._succeeded_at > LOST_TIME:
+            self.is_direct_path_lost = True
             log_event("store.path_lost", away=now - self._succeeded_at)
 
     async def run_probes(self, probe: Callable[[], Awaitable[None]]) -> None:
@@ -94,7 +94,7 @@
         """
         while True:
             await asyncio.sleep(PROBE_PERIOD)
-            if self.is_lost:
+            if self.is_direct_path_lost:
                 try:
                     await probe()
                 except PlatformUnavailableError:
@@ -106,12 +106,12 @@
 
     Args:
         store: The store.
-        path: This process's own way to it.
+        selector: This process's own way to it.
     """
 
-    def __init__(self, store: StoreClient, path: StoreProxySelector) -> None:
+    def __init__(self, store: StoreClient, selector: StoreProxySelector) -> None:
         self.store = store
-        self.path = path
+        self.selector = selector
 
     async def handle(self, request: ClientRequest) -> Response:
         """Passes one call on, and gives the store's answer.
@@ -120,7 +120,7 @@
             BuckthornstileError: The store is out of reach here too; the verdict is
                 NOT_RUN only if the call had no effect and will have none.
         """
-        if self.path.is_lost:
+        if self.selector.is_direct_path_lost:
             raise BuckthornstileError(
                 ErrorCode.PLATFORM_UNAVAILABLE,
                 "the store is out of reach here too",
--- a/buckthornstile/gateway/_stream_proxy.py
+++ b/buckthornstile/gateway/_stream_proxy.py
@@ -234,7 +234,7 @@
             raise self._make_error(ErrorCode.ANSWER_TRUNCATED, "the stream broke off")
         upstream = None
         if may_run and self.refusals < MAX_REFUSALS:
-            upstream = balancer.choose(self.service, avoided=self.tried)
+            upstream = balancer.pick(self.service, avoided=self.tried)
         if upstream is None:
             raise self._make_error(
                 ErrorCode.NO_UPSTREAM,
--- a/buckthornstile/gateway/_topology_watcher.py
+++ b/buckthornstile/gateway/_topology_watcher.py
@@ -62,7 +62,7 @@
             OPERATOR_TOPIC,
             0,
             clock=clock,
-            wait=OPERATOR_WAIT,
+            max_wait=OPERATOR_WAIT,
             on_record=self._apply_operator,
             on_snapshot=self._apply_all_operator,
         )
@@ -71,8 +71,8 @@
             UPSTREAM_TOPIC,
             0,
             clock=clock,
-            wait=UPSTREAM_WAIT,
-            pause=UPSTREAM_PAUSE,
+            max_wait=UPSTREAM_WAIT,
+            poll_interval=UPSTREAM_PAUSE,
             on_record=self._apply_upstream_record,
             on_snapshot=self._apply_all_upstreams,
         )
@@ -159,7 +159,7 @@
             log_event(
                 "upstream.entry_late",
                 upstream=name,
-                beat=upstream.beat,
+                beat=upstream.sequence,
                 known=known is not None,
             )
             return
@@ -186,7 +186,7 @@
     def _get_lapse_end(self, now: float) -> float:
         """Until when a missing entry may have lapsed while the store was away."""
         consumer = self.upstreams
-        lost_at = consumer.lost_at
+        lost_at = consumer.disconnected_at
         outage = LAPSE_BEATS * self.heartbeat
         if consumer.is_loaded and lost_at is not None and now - lost_at > outage:
             self._lapse_until = now + EXPIRY_GRACE
--- a/buckthornstile/http_client/_connection_pool.py
+++ b/buckthornstile/http_client/_connection_pool.py
@@ -163,8 +163,8 @@
             on_data: Called with each part of the body, in place of collecting it.
             connect_timeout: Seconds for a new connection to stand.
             new_connection: Use a new connection.
-            before_send: Called last before the request is written; raises if it may not be
-                sent any more.
+            before_send: Called last before the request is written; raises if it may
+                not be sent any more.
 
         Returns:
             The whole answer.
--- a/buckthornstile/jobs/_records.py
+++ b/buckthornstile/jobs/_records.py
@@ -53,8 +53,8 @@
     kind: str
     job: JobId
     item: ItemId | None
-    part: int
-    parts: int
+    chunk_index: int
+    chunk_count: int
 
 
 def parse_key(key: str) -> RecordKey:
--- a/buckthornstile/jobs/_table.py
+++ b/buckthornstile/jobs/_table.py
@@ -200,11 +200,11 @@
         ]
 
     def _join(self, parsed: RecordKey, key: str, value: bytes) -> bytes | None:
-        if parsed.parts == 1:
+        if parsed.chunk_count == 1:
             return value
         prefix = key.rpartition("/")[0]
-        parts = self._parts.setdefault(prefix, _Parts(parsed.parts))
-        parts.pieces[parsed.part] = value
+        parts = self._parts.setdefault(prefix, _Parts(parsed.chunk_count))
+        parts.pieces[parsed.chunk_index] = value
         if len(parts.pieces) < parts.total:
             return None
         del self._parts[prefix]
@@ -254,7 +254,7 @@
             job.ended = True
         elif parsed.kind == PROGRESS and parsed.item in job.items:
             pieces = job.progress.setdefault(parsed.item, {})
-            pieces[parsed.part] = decode_progress(value)
+            pieces[parsed.chunk_index] = decode_progress(value)
             return
         elif parsed.kind == RESULT and parsed.item in job.items:
             if parsed.item in job.positions:
@@ -274,7 +274,7 @@
             return
         job.keys.discard(key)
         if parsed.kind == PROGRESS and parsed.item is not None:
-            job.progress.get(parsed.item, {}).pop(parsed.part, None)
+            job.progress.get(parsed.item, {}).pop(parsed.chunk_index, None)
         if parsed.kind == SPECIFICATION:
             del self.jobs[parsed.job]
             self._forget_items(job)
--- a/buckthornstile/metrics/__init__.py
+++ b/buckthornstile/metrics/__init__.py
@@ -1,11 +1,15 @@
 """Counters, gauges and HDR histograms, and their text for scrapers."""
 
 from buckthornstile.metrics._exposition import render_metrics
-from buckthornstile.metrics._histograms import OTHER, HistogramMetric, Histograms
+from buckthornstile.metrics._histograms import (
+    OVERFLOW_ACCOUNT,
+    HistogramMetric,
+    Histograms,
+)
 from buckthornstile.metrics._series import CounterName, Counters, GaugeName, Gauges
 
 __all__ = [
-    "OTHER",
+    "OVERFLOW_ACCOUNT",
     "CounterName",
     "Counters",
     "GaugeName",
--- a/buckthornstile/metrics/_histograms.py
+++ b/buckthornstile/metrics/_histograms.py
@@ -9,7 +9,7 @@
 
 from buckthornstile.base import AccountId, RequestClass
 
-OTHER = AccountId("other")
+OVERFLOW_ACCOUNT = AccountId("other")
 """Stands for all client accounts beyond the bound on their number."""
 
 MAX_ACCOUNTS = 64
@@ -23,7 +23,7 @@
 
     QUEUE_WAIT = ("queue_wait", "seconds", 1_000_000)
     TIME_TO_FIRST_TOKEN = ("time_to_first_token", "seconds", 1_000_000)
-    TOTAL = ("request_duration", "seconds", 1_000_000)
+    REQUEST_DURATION = ("request_duration", "seconds", 1_000_000)
     TRAINER_IDLE = ("trainer_idle", "seconds", 1_000_000)
     SAMPLE_AGE = ("sample_age", "versions", 1)
 
@@ -120,12 +120,13 @@
     Example:
         >>> histograms = Histograms()
         >>> histograms.record(
-        ...     HistogramMetric.TOTAL,
+        ...     HistogramMetric.REQUEST_DURATION,
         ...     0.5,
         ...     account="mill-7",
         ...     request_class=RequestClass.INTERACTIVE,
         ... )
-        >>> histograms.find_account(HistogramMetric.TOTAL, "mill-7").count
+        >>> metric = HistogramMetric.REQUEST_DURATION
+        >>> histograms.get_account_histogram(metric, "mill-7").count
         1
     """
 
@@ -161,13 +162,14 @@
             self._by_class[(measure, request_class)] = by_class
         by_class.record(value)
 
-    def find_account(
+    def get_account_histogram(
         self, measure: HistogramMetric, account: AccountId
     ) -> Histogram | None:
         """Finds a client account's distribution.
 
         Example:
-            >>> Histograms().find_account(HistogramMetric.TOTAL, "mill-7") is None
+            >>> metric = HistogramMetric.REQUEST_DURATION
+            >>> Histograms().get_account_histogram(metric, "mill-7") is None
             True
         """
         return self._by_account.get((measure, account))
@@ -192,7 +194,7 @@
     def _add_account(self, measure: HistogramMetric, account: AccountId) -> Histogram:
         if account not in self._accounts:
             if len(self._accounts) >= self.max_accounts:
-                account = OTHER
+                account = OVERFLOW_ACCOUNT
             else:
                 self._accounts.add(account)
         key = (measure, account)
--- a/buckthornstile/metrics/_series.py
+++ b/buckthornstile/metrics/_series.py
@@ -80,11 +80,11 @@
         """
         return self._series.get(name, {}).get(tuple(sorted(labels.items())), 0)
 
-    def total(self, name: CounterName) -> float:
+    def get_total(self, name: CounterName) -> float:
         """Adds up a counter over all labels.
 
         Example:
-            >>> Counters().total(CounterName("heartbeats"))
+            >>> Counters().get_total(CounterName("heartbeats"))
             0
         """
         return sum(self._series.get(name, {}).values())
--- a/buckthornstile/metrics/tests/test_metrics.py
+++ b/buckthornstile/metrics/tests/test_metrics.py
@@ -4,7 +4,7 @@
 
 from buckthornstile.base import RequestClass
 from buckthornstile.metrics import (
-    OTHER,
+    OVERFLOW_ACCOUNT,
     Counters,
     Gauges,
     HistogramMetric,
@@ -22,20 +22,25 @@
     histograms = Histograms(max_accounts=2)
     for number in range(50):
         histograms.record(
-            HistogramMetric.TOTAL,
+            HistogramMetric.REQUEST_DURATION,
             number / 10,
             account=f"account-{number}",
             request_class=RequestClass.INTERACTIVE,
         )
     assert len(histograms.list_series()) == 4
-    assert histograms.find_account(HistogramMetric.TOTAL, OTHER).count == 48
+    assert (
+        histograms.get_account_histogram(
+            HistogramMetric.REQUEST_DURATION, OVERFLOW_ACCOUNT
+        ).count
+        == 48
+    )
 
 
 def test_label_values_from_outside_do_not_grow_without_bound():
     counters = Counters()
     for number in range(5000):
         counters.increment("refusals", path=f"/{number}")
-    assert counters.total("refusals") == 5000
+    assert counters.get_total("refusals") == 5000
     assert len(counters.items()["refusals"]) == 257
 
 
@@ -48,7 +53,9 @@
             account="mill-7",
             request_class=RequestClass.TRAINER,
         )
-    distribution = histograms.find_account(HistogramMetric.QUEUE_WAIT, "mill-7")
+    distribution = histograms.get_account_histogram(
+        HistogramMetric.QUEUE_WAIT, "mill-7"
+    )
     assert abs(distribution.get_quantile(0.99) - 0.99) < 0.01
     assert abs(distribution.sum - 500.5) < 1e-6
     for odd in (-1, float("inf"), float("nan")):
--- a/buckthornstile/platform/_store.py
+++ b/buckthornstile/platform/_store.py
@@ -47,7 +47,7 @@
     """Pages of the newest records; ``end`` is that of the first page."""
 
     records: list[KeyedRecord] = field(default_factory=list)
-    end: int = -1
+    end_offset: int = -1
     is_complete: bool = False
 
 
@@ -56,16 +56,16 @@
     """Records read from an offset on, and the partition's end."""
 
     records: tuple[tuple[int, bytes], ...]
-    end: int
+    end_offset: int
     next_offset: int
 
 
 class OffsetOutOfRangeError(BuckthornstileError):
     """The offset asked for is no longer kept."""
 
-    def __init__(self, first: int) -> None:
+    def __init__(self, first_offset: int) -> None:
         super().__init__(ErrorCode.PLATFORM_UNAVAILABLE, "history was dropped")
-        self.first = first
+        self.first_offset = first_offset
 
 
 class AppendConflictError(BuckthornstileError):
@@ -99,7 +99,7 @@
     A way is the address of a process that passes calls on, or "" for the direct one.
     """
 
-    def choose(self) -> str:
+    def select_proxy(self) -> str:
         """Gives the way of the next call."""
 
     def record_success(self, relay: str) -> None:
@@ -112,7 +112,7 @@
 class NoProxy:
     """Makes every call the direct way."""
 
-    def choose(self) -> str:
+    def select_proxy(self) -> str:
         """Gives the direct way."""
         return ""
 
@@ -128,16 +128,18 @@
 
     Args:
         address: The store, as ``IP:port``.
-        path: Chooses the way of each call; the direct one by default.
+        proxy_selector: Chooses the way of each call; the direct one by default.
 
     Example:
         >>> StoreClient("127.0.0.1:1").address
         '127.0.0.1:1'
     """
 
-    def __init__(self, address: str, *, path: ProxySelector | None = None) -> None:
+    def __init__(
+        self, address: str, *, proxy_selector: ProxySelector | None = None
+    ) -> None:
         self.address = address
-        self.path = path or NoProxy()
+        self.proxy_selector = proxy_selector or NoProxy()
         self._pool = ConnectionPool(max_idle_per_peer=16)
 
     async def append(
@@ -228,7 +230,7 @@
         loading = LatestRecords()
         while not loading.is_complete:
             await self.read_latest_page(topic, part, loading, timeout=timeout)
-        return loading.records, loading.end
+        return loading.records, loading.end_offset
 
     async def read_latest_page(
         self,
@@ -252,8 +254,8 @@
         answer = await self._call("GET", path, None, timeout)
         _check_status(answer)
         data = _decode_json(answer.body)
-        if pages.end < 0:
-            pages.end = int(data["end"])
+        if pages.end_offset < 0:
+            pages.end_offset = int(data["end"])
         for item in data.get("items") or ():
             value = base64.b64decode(item["value"])
             pages.records.append(KeyedRecord(item["offset"], item["key"], value))
@@ -294,7 +296,7 @@
         *,
         is_direct: bool = False,
     ) -> HTTPResponse:
-        relay = "" if is_direct else self.path.choose()
+        relay = "" if is_direct else self.proxy_selector.select_proxy()
         address = relay or self.address
         headers = [("Host", self.address)]
         if relay:
@@ -306,20 +308,20 @@
         except TimeoutError as error:
             # Open connections may all have gone silent while new ones work.
             self._pool.close_idle(address)
-            self.path.record_failure(relay)
+            self.proxy_selector.record_failure(relay)
             raise PlatformUnavailableError(
                 "the store gave no answer in time"
             ) from error
         except BuckthornstileError as error:
-            self.path.record_failure(relay)
+            self.proxy_selector.record_failure(relay)
             raise PlatformUnavailableError(
                 f"the store: {error.message}",
                 may_have_taken_effect=error.verdict is not Verdict.NOT_RUN,
             ) from error
         if answer.status in TURNED_AWAY_STATUSES:
-            self.path.record_failure(relay)
+            self.proxy_selector.record_failure(relay)
         else:
-            self.path.record_success(relay)
+            self.proxy_selector.record_success(relay)
         return answer
 
 
--- a/buckthornstile/platform/_store_records.py
+++ b/buckthornstile/platform/_store_records.py
@@ -11,10 +11,10 @@
     WeightVersion,
 )
 from buckthornstile.topology import (
-    Account,
     ClientLimits,
-    Configuration,
     ModelName,
+    PlatformAccount,
+    PlatformConfiguration,
     Route,
     RouteKind,
     Service,
@@ -25,7 +25,7 @@
 READY, DRAINING = "ready", "draining"
 
 
-def decode_configuration(value: bytes) -> Configuration:
+def decode_configuration(value: bytes) -> PlatformConfiguration:
     """Decodes a whole configuration.
 
     Raises:
@@ -34,7 +34,7 @@
     try:
         data = json.loads(value)
         limits = data.get("limits") or {}
-        return Configuration(
+        return PlatformConfiguration(
             version=int(data["version"]),
             routes=tuple(_decode_route(route) for route in data.get("routes") or ()),
             services={
@@ -42,7 +42,7 @@
                 for one in data.get("services") or ()
             },
             accounts=tuple(
-                Account(
+                PlatformAccount(
                     AccountId(one["name"]),
                     tuple(one.get("apiKeys") or ()),
                     one.get("priority"),
@@ -77,7 +77,7 @@
         target_latency=data.get("targetLatencyMs", 1000) / 1000,
         priority=int(data.get("priority", 5)),
         max_attempts=int(data.get("maxAttempts", 1)),
-        is_open=bool(data.get("allowAnonymous", False)),
+        allows_anonymous=bool(data.get("allowAnonymous", False)),
         is_streaming=bool(data.get("streaming", False)),
         is_resumable=bool(data.get("resumable", False)),
         requires_single_version=bool(data.get("singleVersion", False)),
@@ -156,11 +156,11 @@
         service=ServiceName(service),
         host=host,
         port=int(port),
-        zone=FailureDomain(zone),
+        failure_domain=FailureDomain(zone),
         slots=int(slots),
         is_draining=state == DRAINING,
         cold_remaining=cold / 1000,
         started_at_ms=int(started_at_ms),
-        beat=int(beat),
+        sequence=int(beat),
         versions=versions,
     )
--- a/buckthornstile/platform/tests/test_store.py
+++ b/buckthornstile/platform/tests/test_store.py
@@ -43,7 +43,7 @@
         assert await store.append("t", 0, [b"d"]) == 3
         data = await store.read("t", 0, 1)
         assert data.records == ((1, b""), (2, b"ccc"), (3, b"d"))
-        assert (data.end, data.next_offset) == (4, 4)
+        assert (data.end_offset, data.next_offset) == (4, 4)
         assert (await store.read("t", 0, 4, wait=0.05)).records == ()
 
     run_with_store(test)
@@ -135,7 +135,7 @@
         assert values["k599"] == b"599"
         with pytest.raises(OffsetOutOfRangeError) as caught:
             await store.read("keyed.t", 0, 5)
-        assert caught.value.first == 901
+        assert caught.value.first_offset == 901
 
     run_with_store(test)
 
--- a/buckthornstile/samples/_receiver.py
+++ b/buckthornstile/samples/_receiver.py
@@ -55,7 +55,7 @@
         >>> group = GroupSpecification(prompt="p", samples=1)
         >>> wanted = LotSpecification(lot="l", trainer="t", groups=(group,), version=3)
         >>> received = SampleReceiver(wanted)
-        >>> received.begin_attach().attach
+        >>> received.make_attach_request().attach
         1
         >>> line = SampleLine(group=0, index=0, body={}, labels=((0, 1, 2),),
         ...     digest=digest_body({}))
@@ -90,7 +90,7 @@
         """Received slots whose acknowledgement has not been confirmed."""
         return tuple(sorted(self._unacknowledged))
 
-    def begin_attach(self) -> AttachRequest:
+    def make_attach_request(self) -> AttachRequest:
         """Makes the next attach; its number is never used again."""
         attach = self.next_attach
         self.next_attach += 1
--- a/buckthornstile/topology/__init__.py
+++ b/buckthornstile/topology/__init__.py
@@ -1,10 +1,10 @@
 """Routes, accounts, services and upstreams that are in force."""
 
 from buckthornstile.topology._types import (
-    Account,
     ClientLimits,
-    Configuration,
     ModelName,
+    PlatformAccount,
+    PlatformConfiguration,
     Route,
     RouteKind,
     Service,
@@ -15,9 +15,9 @@
 __all__ = [
     "EXPIRY_GRACE",
     "API_HOST",
-    "Account",
+    "PlatformAccount",
     "ClientLimits",
-    "Configuration",
+    "PlatformConfiguration",
     "ModelName",
     "Route",
     "RouteKind",
--- a/buckthornstile/topology/_types.py
+++ b/buckthornstile/topology/_types.py
@@ -29,7 +29,7 @@
     """One host and path prefix, and how its requests are served.
 
     Times are in seconds. ``services`` pairs each service with its share of the
-    requests. ``is_open`` routes need no key.
+    requests. ``allows_anonymous`` routes need no key.
     """
 
     name: str
@@ -41,7 +41,7 @@
     target_latency: float
     priority: int = 5
     max_attempts: int = 1
-    is_open: bool = False
+    allows_anonymous: bool = False
     is_streaming: bool = False
     is_resumable: bool = False
     requires_single_version: bool = False
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Account:
+class PlatformAccount:
     """A client account with the keys that are its own."""
 
     name: AccountId
@@ -81,13 +81,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Configuration:
+class PlatformConfiguration:
     """One whole version of what operators configured."""
 
     version: int
     routes: tuple[Route, ...] = ()
     services: dict[ServiceName, Service] = field(default_factory=dict)
-    accounts: tuple[Account, ...] = ()
+    accounts: tuple[PlatformAccount, ...] = ()
     limits: ClientLimits = ClientLimits()
 
 
@@ -96,20 +96,20 @@
     """One back end as it last described itself.
 
     ``started_at_ms`` is the millisecond of its start: the same id with another
-    ``started_at_ms`` is another incarnation. ``beat`` counts what it wrote of itself
-    since then. ``cold_remaining`` is in seconds.
+    ``started_at_ms`` is another incarnation. ``sequence`` counts what it wrote of
+    itself since then. ``cold_remaining`` is in seconds.
     """
 
     id: UpstreamId
     service: ServiceName
     host: str
     port: int
-    zone: FailureDomain
+    failure_domain: FailureDomain
     slots: int
     is_draining: bool = False
     cold_remaining: float = 0.0
     started_at_ms: int = 0
-    beat: int = 0
+    sequence: int = 0
     versions: dict[ModelName, WeightVersion] = field(default_factory=dict)
 
     @property
--- a/buckthornstile/topology/_view.py
+++ b/buckthornstile/topology/_view.py
@@ -5,9 +5,9 @@
 
 from buckthornstile.base import FailureDomain, ServiceName, UpstreamId
 from buckthornstile.topology._types import (
-    Account,
-    Configuration,
     ModelName,
+    PlatformAccount,
+    PlatformConfiguration,
     Route,
     Upstream,
 )
@@ -29,7 +29,7 @@
     """The newest write of an upstream, kept also after its entry is gone."""
 
     started_at_ms: int
-    beat: int
+    sequence: int
     at: float
     removed_at: float | None = None
     return_at: float | None = None
@@ -47,20 +47,20 @@
     """
 
     def __init__(self) -> None:
-        self.configuration: Configuration | None = None
-        self.evacuated: set[FailureDomain] = set()
+        self.configuration: PlatformConfiguration | None = None
+        self.evacuated_domains: set[FailureDomain] = set()
         self.target_versions: dict[ModelName, int] = {}
         self.upstreams: dict[UpstreamId, Upstream] = {}
         self._lapsing: dict[UpstreamId, float] = {}
         self._cold_until: dict[UpstreamId, float] = {}
         self._seen_versions: dict[UpstreamId, tuple[int, dict[ModelName, int]]] = {}
         self._traces: dict[UpstreamId, _Trace] = {}
-        self.drained: frozenset[FailureDomain] = frozenset()
+        self.drained_domains: frozenset[FailureDomain] = frozenset()
         self._routes: dict[str, list[Route]] = {}
         self._own_routes: dict[str, Route] = {}
-        self._accounts: dict[str, Account] = {}
+        self._accounts: dict[str, PlatformAccount] = {}
 
-    def apply_configuration(self, configuration: Configuration) -> bool:
+    def apply_configuration(self, configuration: PlatformConfiguration) -> bool:
         """Puts a newer configuration in force; an older one changes nothing."""
         current = self.configuration
         if current is not None and configuration.version <= current.version:
@@ -76,23 +76,23 @@
         }
         return True
 
-    def apply_evacuation(self, zone: FailureDomain, evacuated: bool) -> None:
+    def apply_evacuation(self, failure_domain: FailureDomain, evacuated: bool) -> None:
         """Marks a failure domain as evacuated, or as back in use."""
         if evacuated:
-            self.evacuated.add(zone)
+            self.evacuated_domains.add(failure_domain)
         else:
-            self.evacuated.discard(zone)
+            self.evacuated_domains.discard(failure_domain)
 
     def replace_api_configuration(
         self, routes: Iterable[Route], drained: Iterable[FailureDomain]
     ) -> None:
         """Puts the routes and drains of the product's own interface in force."""
         self._own_routes = {route.path_prefix: route for route in routes}
-        self.drained = frozenset(drained)
+        self.drained_domains = frozenset(drained)
 
-    def replace_evacuations(self, zones: set[FailureDomain]) -> None:
+    def replace_evacuations(self, failure_domains: set[FailureDomain]) -> None:
         """Puts a whole list of evacuated failure domains in force."""
-        self.evacuated = set(zones)
+        self.evacuated_domains = set(failure_domains)
 
     def apply_target_version(self, model: ModelName, version: int) -> bool:
         """Notes the version that a trainer named; versions only grow."""
@@ -122,18 +122,18 @@
         trace = self._traces.get(upstream.id)
         if trace is None or upstream.started_at_ms > trace.started_at_ms:
             self._traces[upstream.id] = _Trace(
-                upstream.started_at_ms, upstream.beat, now
+                upstream.started_at_ms, upstream.sequence, now
             )
             return True
-        is_older = (upstream.started_at_ms, upstream.beat) < (
+        is_older = (upstream.started_at_ms, upstream.sequence) < (
             trace.started_at_ms,
-            trace.beat,
+            trace.sequence,
         )
         if is_older and now - trace.at < LATE_WRITE:
             return False
-        trace.started_at_ms, trace.beat, trace.at = (
+        trace.started_at_ms, trace.sequence, trace.at = (
             upstream.started_at_ms,
-            upstream.beat,
+            upstream.sequence,
             now,
         )
         if trace.removed_at is None or now - trace.removed_at > LATE_WRITE:
@@ -227,7 +227,7 @@
                 return route
         return None
 
-    def find_account(self, key: str) -> Account | None:
+    def find_account(self, key: str) -> PlatformAccount | None:
         """Finds the account that holds a key now."""
         return self._accounts.get(key)
 
@@ -238,8 +238,8 @@
             for upstream in self.upstreams.values()
             if upstream.service == service
             and not upstream.is_draining
-            and upstream.zone not in self.evacuated
-            and upstream.zone not in self.drained
+            and upstream.failure_domain not in self.evacuated_domains
+            and upstream.failure_domain not in self.drained_domains
         ]
 
     def get_models_by_service(self) -> dict[ServiceName, tuple[ModelName, ...]]:
--- a/buckthornstile/topology/tests/test_view.py
+++ b/buckthornstile/topology/tests/test_view.py
@@ -1,19 +1,24 @@
 """What the view makes of late, lapsed and returning entries."""
 
-from buckthornstile.topology import Configuration, Route, RouteKind, TopologyView
-from buckthornstile.topology._types import Account, Upstream
+from buckthornstile.topology import (
+    PlatformConfiguration,
+    Route,
+    RouteKind,
+    TopologyView,
+)
+from buckthornstile.topology._types import PlatformAccount, Upstream
 
 
-def make_upstream(beat: int = 1, **changes) -> Upstream:
+def make_upstream(sequence: int = 1, **changes) -> Upstream:
     fields = {
         "id": "w1",
         "service": "desk",
         "host": "127.0.0.1",
         "port": 9000,
-        "zone": "bench-a",
+        "failure_domain": "bench-a",
         "slots": 4,
         "started_at_ms": 10,
-        "beat": beat,
+        "sequence": sequence,
     } | changes
     return Upstream(**fields)
 
@@ -99,10 +104,10 @@
     view = TopologyView()
     route = Route("r", "h", "/a/", RouteKind.IDEMPOTENT, (("desk", 1.0),), 1.0, 0.1)
     longer = Route("l", "h", "/a/b/", RouteKind.IDEMPOTENT, (("x", 1.0),), 1.0, 0.1)
-    account = Account("mill", ("k1",))
-    configuration = Configuration(7, (route, longer), accounts=(account,))
+    account = PlatformAccount("mill", ("k1",))
+    configuration = PlatformConfiguration(7, (route, longer), accounts=(account,))
     assert view.apply_configuration(configuration)
-    assert not view.apply_configuration(Configuration(6))
+    assert not view.apply_configuration(PlatformConfiguration(6))
     assert view.find_route("h", "/a/b/c") == longer
     assert view.find_route("h", "/a/c") == route
     assert view.find_route("h", "/c") is None
--- a/soak/_steps.py
+++ b/soak/_steps.py
@@ -133,7 +133,7 @@
 
     async def _do_link_cut(self, step: FaultStep) -> None:
         proxy = self.proxies[self._choose_entry(step)]
-        await asyncio.to_thread(proxy.cut)
+        await asyncio.to_thread(proxy.disconnect)
         await asyncio.sleep(step.seconds)
         proxy.restore()
 
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -33,7 +33,7 @@
     Example:
         >>> table = FaultInjector()
         >>> table.add({"kind": "down", "target": "log", "count": 1})
-        >>> table.take("down", "log").kind, table.take("down", "log")
+        >>> table.consume("down", "log").kind, table.consume("down", "log")
         ('down', None)
     """
 
@@ -55,7 +55,7 @@
         """Switches off the faults of a kind, or all."""
         self._faults = [f for f in self._faults if kind and f.kind != kind]
 
-    def take(self, kind: str, target: str = "") -> Fault | None:
+    def consume(self, kind: str, target: str = "") -> Fault | None:
         """Finds a fault that is on and uses up one of its strikes."""
         for fault in self._faults:
             if fault.kind != kind or fault.target not in ("", target):
--- a/standins/store/_application.py
+++ b/standins/store/_application.py
@@ -42,17 +42,17 @@
         """Counts the call and applies the faults that come before the effect."""
         name = f"calls_{self.target or 'other'}"
         self.journal.figures[name] = self.journal.figures.get(name, 0) + 1
-        if fault := self.faults.take("slow", self.target):
+        if fault := self.faults.consume("slow", self.target):
             await asyncio.sleep(fault.seconds)
-        if self.faults.take("busy", self.target):
+        if self.faults.consume("busy", self.target):
             raise web.HTTPError(503)
-        if self.faults.take("many", self.target):
+        if self.faults.consume("many", self.target):
             raise web.HTTPError(429)
-        if fault := self.faults.take("silent", self.target):
+        if fault := self.faults.consume("silent", self.target):
             await asyncio.sleep(fault.seconds)
             drop_connection(self)
             raise web.Finish
-        if self.faults.take("reset", self.target):
+        if self.faults.consume("reset", self.target):
             drop_connection(self)
             raise web.Finish
 
@@ -68,13 +68,13 @@
 
     async def post(self) -> None:
         """Appends the body's records."""
-        if fault := self.faults.take("late", self.target):
+        if fault := self.faults.consume("late", self.target):
             asyncio.get_running_loop().call_later(fault.seconds, self._append)
             await asyncio.sleep(fault.seconds)
             drop_connection(self)
             return
         status, fields = self._append()
-        if self.faults.take("lose_answer", self.target):
+        if self.faults.consume("lose_answer", self.target):
             drop_connection(self)
             return
         self.set_status(status)
@@ -179,7 +179,7 @@
             term=int(self.request.headers.get("Fencing-Token", "-1")),
             body=json.loads(self.request.body),
         )
-        if self.faults.take("lose_answer", self.target):
+        if self.faults.consume("lose_answer", self.target):
             drop_connection(self)
             return
         self.write({})
--- a/standins/tcp_proxy.py
+++ b/standins/tcp_proxy.py
@@ -58,7 +58,7 @@
         return self
 
     def __exit__(self, *exception: object) -> None:
-        self.cut()
+        self.disconnect()
         self._run(self._close())
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(CALL_TIMEOUT)
@@ -69,7 +69,7 @@
         """Where it listens, for a target that speaks HTTP."""
         return f"http://{self.address}:{self.port}"
 
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         """Cuts all connections, and each new one at once."""
         self._run(self._cut())
 
--- a/standins/worker/_application.py
+++ b/standins/worker/_application.py
@@ -75,7 +75,7 @@
         self.set_header("Request-Id", self.request.headers.get("Request-Id", ""))
         if not self.check_instance():
             raise web.Finish
-        if self.faults.take("full"):
+        if self.faults.consume("full"):
             self.set_status(503)
             self.set_header("Not-Run", "1")
             raise web.Finish
@@ -92,15 +92,15 @@
             finished=False,
         )
         self.set_header("Server-Stamp", f"{self.state.id}.{len(self.journal.entries)}")
-        if fault := self.faults.take("silent"):
+        if fault := self.faults.consume("silent"):
             await asyncio.sleep(fault.seconds)
-        if self.faults.take("reset"):
+        if self.faults.consume("reset"):
             drop_connection(self)
             return
-        if self.faults.take("error"):
+        if self.faults.consume("error"):
             self.set_status(500)
             return
-        if self.faults.take("impossible"):
+        if self.faults.consume("impossible"):
             self.set_status(422)
             return
         self.state.running += 1
@@ -119,12 +119,12 @@
 
     async def _answer(self) -> None:
         await asyncio.sleep(self.state.work_seconds)
-        if self.faults.take("unsigned"):
+        if self.faults.consume("unsigned"):
             self.clear_header("Server-Stamp")
-        if self.faults.take("crossed"):
+        if self.faults.consume("crossed"):
             self.set_header("Request-Id", "another")
         body = b"answer to " + self.request.body
-        if self.faults.take("truncate"):
+        if self.faults.consume("truncate"):
             stream = self.request.connection.stream  # type: ignore[union-attr]
             request_id = self.request.headers.get("Request-Id", "")
             head = f"HTTP/1.1 200 OK\r\nRequest-Id: {request_id}\r\n"
@@ -150,7 +150,7 @@
         if start <= count:
             self.set_header("Weight-Versions", str(version))
         entry["versions"] = runs = []
-        cut, stall = self.faults.take("cut"), self.faults.take("stall")
+        cut, stall = self.faults.consume("cut"), self.faults.consume("stall")
         for number in range(start, count + 1):
             await asyncio.sleep(state.event_seconds)
             if cut and number > cut.value:
@@ -166,7 +166,7 @@
             runs.append(version)
             self.write("\n".join(lines) + "\n\n")
             await self.flush()
-        if self.faults.take("cut_end"):
+        if self.faults.consume("cut_end"):
             await asyncio.sleep(state.event_seconds)
             drop_connection(self)
         return True
@@ -206,14 +206,14 @@
         if not self.check_instance():
             return
         order = json.loads(self.request.body)
-        if fault := self.faults.take("late_order"):
+        if fault := self.faults.consume("late_order"):
             loop = asyncio.get_running_loop()
             loop.call_later(fault.seconds, self._take_order, order)
             await asyncio.sleep(fault.seconds)
             drop_connection(self)
             return
         status = self._take_order(order)
-        if self.faults.take("mute_order"):
+        if self.faults.consume("mute_order"):
             drop_connection(self)
             return
         self.set_status(status)
--- a/tests/test_withdrawal.py
+++ b/tests/test_withdrawal.py
@@ -37,7 +37,7 @@
             await harness.until(
                 lambda: {c.status for c in [*first, *second]} == {200}, "calls run"
             )
-            proxy.cut()
+            proxy.disconnect()
             code, _ = await harness.run_command("keys", "withdraw", "mill-key")
             assert code == ExitCode.OK
             deadline = harness.find_append('"withdrawn":true') + PROPAGATION_LIMIT
