--- a/buckthornstile/api/_revocation.py
+++ b/buckthornstile/api/_revocation.py
@@ -10,7 +10,7 @@
 FindError = Callable[[KeyId], BuckthornstileError | None]
 
 
-class Revocation:
+class RevocationMonitor:
     """Keeps what runs under each key, and ends it with the key.
 
     Args:
@@ -21,7 +21,7 @@
         self.find_error = find_error
         self._running: dict[asyncio.Future[BuckthornstileError], KeyId] = {}
 
-    def check_all(self) -> None:
+    def cancel_revoked(self) -> None:
         """Ends all work under keys that do not work any more."""
         for ended, key in list(self._running.items()):
             error = self.find_error(key)
--- a/buckthornstile/tails/_tail.py
+++ b/buckthornstile/consumers/_partition_consumer.py
@@ -7,10 +7,10 @@
 from buckthornstile.base import BuckthornstileError, PlatformUnavailableError
 from buckthornstile.logs import log_event
 from buckthornstile.platform import (
-    HistoryDroppedError,
-    NewestPages,
+    KeyedRecord,
+    LatestRecords,
+    OffsetOutOfRangeError,
     StoreClient,
-    StoredRecord,
     decode_keyed_record,
 )
 
@@ -24,14 +24,14 @@
 PAGE_TIMEOUT = 3.0
 """Seconds for a page of the newest records, up to 1.4 MB on a slow link."""
 
-OnRecord = Callable[[StoredRecord], None]
-OnNewest = Callable[[list[StoredRecord]], None]
+OnRecord = Callable[[KeyedRecord], None]
+OnSnapshot = Callable[[list[KeyedRecord]], None]
 
 
-class Tail:
+class PartitionConsumer:
     """Follows one partition.
 
-    ``fresh_at`` is the time at which the newest successful read was sent: whatever
+    ``synced_at`` is the time at which the newest successful read was sent: whatever
     the store acknowledged before is known.
 
     Args:
@@ -39,14 +39,14 @@
         topic: The topic.
         part: Its partition.
         clock: Gives the time in seconds; it must go on while suspended.
-        wait: Seconds that the store may hold a read without a record.
-        pause: Seconds between two reads, to fetch several records at once.
+        max_wait: Seconds that the store may hold a read without a record.
+        poll_interval: Seconds between two reads, to fetch several records at once.
         on_record: Called with each record of a keyed topic.
-        on_newest: Called with the newest record of each key, at the start and after
+        on_snapshot: Called with the newest record of each key, at the start and after
             history was dropped; None for a topic without keys.
-        on_raw: Called with offset and bytes, for a topic without keys.
-        on_read: Called after each read that reached the end.
-        in_order: Whether records must come in the order of their offsets: pages
+        on_raw_record: Called with offset and bytes, for a topic without keys.
+        on_caught_up: Called after each read that reached the end.
+        ordered: Whether records must come in the order of their offsets: pages
             then give only what lies before the end that the first one told.
     """
 
@@ -57,31 +57,31 @@
         part: int,
         *,
         clock: Callable[[], float],
-        wait: float,
-        pause: float = 0.0,
+        max_wait: float,
+        poll_interval: float = 0.0,
         on_record: OnRecord | None = None,
-        on_newest: OnNewest | None = None,
-        on_raw: Callable[[int, bytes], None] | None = None,
-        on_read: Callable[[], None] | None = None,
-        in_order: bool = False,
+        on_snapshot: OnSnapshot | None = None,
+        on_raw_record: Callable[[int, bytes], None] | None = None,
+        on_caught_up: Callable[[], None] | None = None,
+        ordered: bool = False,
     ) -> None:
         self.store = store
         self.topic = topic
         self.part = part
         self.clock = clock
-        self.wait = wait
-        self.pause = pause
+        self.max_wait = max_wait
+        self.poll_interval = poll_interval
         self.on_record = on_record
-        self.on_newest = on_newest
-        self.on_raw = on_raw
-        self.on_read = on_read
-        self.in_order = in_order
-        self.fresh_at = -1e9
-        self.end = 0
-        self.lost_at: float | None = clock()
-        self.returned_at = -1e9
+        self.on_snapshot = on_snapshot
+        self.on_raw_record = on_raw_record
+        self.on_caught_up = on_caught_up
+        self.ordered = ordered
+        self.synced_at = -1e9
+        self.end_offset = 0
+        self.disconnected_at: float | None = clock()
+        self.reconnected_at = -1e9
         self._next: int | None = None
-        self._pages: NewestPages | None = None
+        self._pages: LatestRecords | None = None
         self._read_waiters: list[tuple[float, asyncio.Future[None]]] = []
         self._hurry = asyncio.Event()
 
@@ -90,11 +90,11 @@
         """Whether the partition was read once to its end."""
         return self._next is not None
 
-    def get_age(self) -> float:
+    def get_staleness(self) -> float:
         """Seconds since the newest successful read was sent."""
-        return self.clock() - self.fresh_at
+        return self.clock() - self.synced_at
 
-    async def wait_until_fresh(self, timeout: float) -> bool:
+    async def wait_until_synced(self, timeout: float) -> bool:
         """Waits for a read that is sent from now on to succeed."""
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._read_waiters.append((self.clock(), waiter))
@@ -113,9 +113,9 @@
             sent_at = self.clock()
             try:
                 await self._read_once()
-            except HistoryDroppedError as error:
+            except OffsetOutOfRangeError as error:
                 log_event("store.history_dropped", topic=self.topic, part=self.part)
-                self._next = None if self.on_newest else error.first
+                self._next = None if self.on_snapshot else error.first_offset
                 continue
             except (BuckthornstileError, ValueError, KeyError, TypeError) as error:
                 self._note_failure(error)
@@ -124,8 +124,8 @@
                 continue
             retry = FIRST_RETRY
             self._note_success(sent_at)
-            if self.pause and not self._read_waiters:
-                await self._sleep(self.pause)
+            if self.poll_interval and not self._read_waiters:
+                await self._sleep(self.poll_interval)
 
     async def _sleep(self, seconds: float) -> None:
         self._hurry.clear()
@@ -136,13 +136,13 @@
             return
 
     async def _read_once(self) -> None:
-        wait = 0.0 if self._read_waiters else self.wait
+        wait = 0.0 if self._read_waiters else self.max_wait
         if self._next is None:
-            if self.on_newest is None:
+            if self.on_snapshot is None:
                 self._next = 0
             else:
                 self._next = await self._load()
-                if not self.in_order:
+                if not self.ordered:
                     return
                 wait = 0.0
         data = await self.store.read(
@@ -151,7 +151,7 @@
         for offset, record in data.records:
             self._apply(offset, record)
         self._next = max(self._next, data.next_offset)
-        self.end = data.end
+        self.end_offset = data.end_offset
 
     async def _load(self) -> int:
         """Reads the newest record of each key; pages that were read are kept.
@@ -159,24 +159,24 @@
         Returns:
             The offset to read on from.
         """
-        assert self.on_newest is not None
-        pages = self._pages = self._pages or NewestPages()
-        while not pages.is_whole:
-            await self.store.read_newest_page(
+        assert self.on_snapshot is not None
+        pages = self._pages = self._pages or LatestRecords()
+        while not pages.is_complete:
+            await self.store.read_latest_page(
                 self.topic, self.part, pages, timeout=PAGE_TIMEOUT
             )
         self._pages = None
         records = pages.records
-        if self.in_order:
+        if self.ordered:
             # Later pages show later records, but not all that lie between.
-            records = [record for record in records if record.offset < pages.end]
-        self.on_newest(records)
-        self.end = pages.end
-        return pages.end
+            records = [record for record in records if record.offset < pages.end_offset]
+        self.on_snapshot(records)
+        self.end_offset = pages.end_offset
+        return pages.end_offset
 
     def _apply(self, offset: int, record: bytes) -> None:
-        if self.on_raw is not None:
-            self.on_raw(offset, record)
+        if self.on_raw_record is not None:
+            self.on_raw_record(offset, record)
             return
         try:
             decoded = decode_keyed_record(offset, record)
@@ -187,31 +187,31 @@
         self.on_record(decoded)
 
     def _note_failure(self, error: Exception) -> None:
-        if self.lost_at is None:
-            self.lost_at = self.clock()
+        if self.disconnected_at is None:
+            self.disconnected_at = self.clock()
             log_event(
                 "store.lost",
                 topic=self.topic,
                 part=self.part,
                 reason=error,
-                age=self.get_age(),
+                age=self.get_staleness(),
             )
         if not isinstance(error, PlatformUnavailableError):
             log_event("store.read_failed", topic=self.topic, reason=repr(error))
 
     def _note_success(self, sent_at: float) -> None:
-        if self.lost_at is not None:
+        if self.disconnected_at is not None:
             log_event(
                 "store.regained",
                 topic=self.topic,
                 part=self.part,
-                away=self.clock() - self.lost_at,
+                away=self.clock() - self.disconnected_at,
             )
-            self.lost_at = None
-            self.returned_at = self.clock()
-        if self._next is None or self._next < self.end:
+            self.disconnected_at = None
+            self.reconnected_at = self.clock()
+        if self._next is None or self._next < self.end_offset:
             return
-        self.fresh_at = sent_at
+        self.synced_at = sent_at
         kept = []
         for asked_at, waiter in self._read_waiters:
             if asked_at > sent_at:
@@ -219,5 +219,5 @@
             elif not waiter.done():
                 waiter.set_result(None)
         self._read_waiters = kept
-        if self.on_read is not None:
-            self.on_read()
+        if self.on_caught_up is not None:
+            self.on_caught_up()
--- a/buckthornstile/jobs/tests/test_ownership_machine.py
+++ b/buckthornstile/jobs/tests/test_ownership_machine.py
@@ -28,7 +28,7 @@
     encode_specification,
 )
 from buckthornstile.platform import encode_keyed_record
-from standins.store import Partition, Refused
+from standins.store import AppendRejectedError, Partition
 
 JOB = JobId("j1")
 ITEMS = tuple(ItemId(f"i{number}") for number in range(4))
@@ -48,10 +48,10 @@
         self.epoch = -1
         self.pending: tuple[list[bytes], int, int] | None = None
 
-    def fold(self, offset: int, record: bytes) -> None:
+    def apply_records(self, offset: int, record: bytes) -> None:
         key = record[1 : 1 + record[0]].decode()
         value = record[1 + record[0] :] or None
-        self.table.apply(0, offset, key, value, 0.0, wall=0.0)
+        self.table.apply(0, offset, key, value, 0.0, wall_time=0.0)
 
 
 class OwnershipMachine(RuleBasedStateMachine):
@@ -74,7 +74,7 @@
             return False
         try:
             self.partition.append(records, producer=JOB, epoch=epoch, sequence=sequence)
-        except Refused:
+        except AppendRejectedError:
             return None
         return outcome != "lost"
 
@@ -102,7 +102,7 @@
         if process.read < self.partition.first:
             self._read_newest(process)
         for offset in range(process.read, self.partition.end):
-            process.fold(
+            process.apply_records(
                 offset, self.partition.records[offset - self.partition.first][1]
             )
         process.read = self.partition.end
@@ -110,7 +110,7 @@
     def _read_newest(self, process: Process) -> None:
         newest = sorted(self.partition.newest.items(), key=lambda one: one[1][0])
         for key, (offset, value) in newest:
-            process.fold(offset, bytes([len(key)]) + key + value)
+            process.apply_records(offset, bytes([len(key)]) + key + value)
         process.read = self.partition.end
 
     @rule(name=st.sampled_from(NAMES), outcome=st.sampled_from(["ok", "lost", "late"]))
--- a/buckthornstile/metrics/tests/test_metrics.py
+++ b/buckthornstile/metrics/tests/test_metrics.py
@@ -4,11 +4,11 @@
 
 from buckthornstile.base import RequestClass
 from buckthornstile.metrics import (
-    OTHER,
+    OVERFLOW_ACCOUNT,
     Counters,
     Gauges,
+    HistogramMetric,
     Histograms,
-    Measure,
     render_metrics,
 )
 
@@ -22,20 +22,25 @@
     histograms = Histograms(max_accounts=2)
     for number in range(50):
         histograms.record(
-            Measure.TOTAL,
+            HistogramMetric.REQUEST_DURATION,
             number / 10,
             account=f"account-{number}",
-            request_class=RequestClass.WAITED,
+            request_class=RequestClass.INTERACTIVE,
         )
     assert len(histograms.list_series()) == 4
-    assert histograms.find_account(Measure.TOTAL, OTHER).count == 48
+    assert (
+        histograms.get_account_histogram(
+            HistogramMetric.REQUEST_DURATION, OVERFLOW_ACCOUNT
+        ).count
+        == 48
+    )
 
 
 def test_label_values_from_outside_do_not_grow_without_bound():
     counters = Counters()
     for number in range(5000):
         counters.increment("refusals", path=f"/{number}")
-    assert counters.total("refusals") == 5000
+    assert counters.get_total("refusals") == 5000
     assert len(counters.items()["refusals"]) == 257
 
 
@@ -43,27 +48,29 @@
     histograms = Histograms()
     for milliseconds in range(1, 1001):
         histograms.record(
-            Measure.QUEUE_WAIT,
+            HistogramMetric.QUEUE_WAIT,
             milliseconds / 1000,
             account="mill-7",
             request_class=RequestClass.TRAINER,
         )
-    distribution = histograms.find_account(Measure.QUEUE_WAIT, "mill-7")
-    assert abs(distribution.find_quantile(0.99) - 0.99) < 0.01
+    distribution = histograms.get_account_histogram(
+        HistogramMetric.QUEUE_WAIT, "mill-7"
+    )
+    assert abs(distribution.get_quantile(0.99) - 0.99) < 0.01
     assert abs(distribution.sum - 500.5) < 1e-6
     for odd in (-1, float("inf"), float("nan")):
         distribution.record(odd)
     assert distribution.count == 1003
-    assert distribution.find_quantile(0.001) < 0.01
+    assert distribution.get_quantile(0.001) < 0.01
 
 
 def test_the_text_is_well_formed_whatever_the_labels_hold():
     counters, gauges, histograms = Counters(), Gauges(), Histograms()
     counters.increment("refusals", 1_234_567, code='say "no"\n\\')
     gauges.set("limit", 2.5, upstream="engine-1")
-    for measure in Measure:
+    for measure in HistogramMetric:
         histograms.record(
-            measure, 1, account="mill-7", request_class=RequestClass.WAITED
+            measure, 1, account="mill-7", request_class=RequestClass.INTERACTIVE
         )
     text = render_metrics(counters=counters, gauges=gauges, histograms=histograms)
     lines = text.splitlines()
--- a/buckthornstile/platform/_operator.py
+++ b/buckthornstile/platform/_store_records.py
@@ -11,21 +11,21 @@
     WeightVersion,
 )
 from buckthornstile.topology import (
-    Account,
     ClientLimits,
-    Configuration,
     ModelName,
+    PlatformAccount,
+    PlatformConfiguration,
     Route,
     RouteKind,
     Service,
     Upstream,
 )
 
-KINDS = {"safe": RouteKind.REPEATABLE, "rollout": RouteKind.ROLLOUT}
+KINDS = {"safe": RouteKind.IDEMPOTENT, "rollout": RouteKind.ROLLOUT}
 READY, DRAINING = "ready", "draining"
 
 
-def decode_configuration(value: bytes) -> Configuration:
+def decode_configuration(value: bytes) -> PlatformConfiguration:
     """Decodes a whole configuration.
 
     Raises:
@@ -34,7 +34,7 @@
     try:
         data = json.loads(value)
         limits = data.get("limits") or {}
-        return Configuration(
+        return PlatformConfiguration(
             version=int(data["version"]),
             routes=tuple(_decode_route(route) for route in data.get("routes") or ()),
             services={
@@ -42,7 +42,7 @@
                 for one in data.get("services") or ()
             },
             accounts=tuple(
-                Account(
+                PlatformAccount(
                     AccountId(one["name"]),
                     tuple(one.get("apiKeys") or ()),
                     one.get("priority"),
@@ -77,10 +77,10 @@
         target_latency=data.get("targetLatencyMs", 1000) / 1000,
         priority=int(data.get("priority", 5)),
         max_attempts=int(data.get("maxAttempts", 1)),
-        is_open=bool(data.get("allowAnonymous", False)),
+        allows_anonymous=bool(data.get("allowAnonymous", False)),
         is_streaming=bool(data.get("streaming", False)),
         is_resumable=bool(data.get("resumable", False)),
-        needs_single_version=bool(data.get("singleVersion", False)),
+        requires_single_version=bool(data.get("singleVersion", False)),
         result_deadline=data.get("resultDeadlineMs", 0) / 1000,
         retention=float(data.get("retentionS", 0)),
     )
@@ -132,14 +132,14 @@
         service, address, zone = data["service"], data["address"], data["zone"]
         host, _, port = address.rpartition(":")
         cold, slots = data.get("coldRemainingMs", 0), data["slots"]
-        born, beat = data.get("born", 0), data.get("sequence", 0)
+        started_at_ms, beat = data.get("born", 0), data.get("sequence", 0)
         models = data.get("models") or ()
         versions = {
             ModelName(one["name"]): WeightVersion(one["version"]) for one in models
         }
     except (KeyError, TypeError, AttributeError) as error:
         raise ValueError(f"upstream entry: {type(error).__name__}: {error}") from error
-    numbers = (cold, slots, born, beat, *versions.values())
+    numbers = (cold, slots, started_at_ms, beat, *versions.values())
     texts = (service, zone, host, *versions)
     if any(
         isinstance(one, bool) or not isinstance(one, int | float) for one in numbers
@@ -156,11 +156,11 @@
         service=ServiceName(service),
         host=host,
         port=int(port),
-        zone=FailureDomain(zone),
+        failure_domain=FailureDomain(zone),
         slots=int(slots),
         is_draining=state == DRAINING,
         cold_remaining=cold / 1000,
-        born=int(born),
-        beat=int(beat),
+        started_at_ms=int(started_at_ms),
+        sequence=int(beat),
         versions=versions,
     )
--- a/buckthornstile/topology/__init__.py
+++ b/buckthornstile/topology/__init__.py
@@ -1,23 +1,23 @@
 """Routes, accounts, services and upstreams that are in force."""
 
 from buckthornstile.topology._types import (
-    Account,
     ClientLimits,
-    Configuration,
     ModelName,
+    PlatformAccount,
+    PlatformConfiguration,
     Route,
     RouteKind,
     Service,
     Upstream,
 )
-from buckthornstile.topology._view import LAPSE_GRACE, OWN_HOST, TopologyView
+from buckthornstile.topology._view import API_HOST, EXPIRY_GRACE, TopologyView
 
 __all__ = [
-    "LAPSE_GRACE",
-    "OWN_HOST",
-    "Account",
+    "EXPIRY_GRACE",
+    "API_HOST",
+    "PlatformAccount",
     "ClientLimits",
-    "Configuration",
+    "PlatformConfiguration",
     "ModelName",
     "Route",
     "RouteKind",
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -24,16 +24,16 @@
     count: int | None = None
 
 
-class FaultTable:
+class FaultInjector:
     """The faults that are on.
 
     Args:
         actions: Kinds that strike once, when they are added.
 
     Example:
-        >>> table = FaultTable()
+        >>> table = FaultInjector()
         >>> table.add({"kind": "down", "target": "log", "count": 1})
-        >>> table.take("down", "log").kind, table.take("down", "log")
+        >>> table.consume("down", "log").kind, table.consume("down", "log")
         ('down', None)
     """
 
@@ -55,7 +55,7 @@
         """Switches off the faults of a kind, or all."""
         self._faults = [f for f in self._faults if kind and f.kind != kind]
 
-    def take(self, kind: str, target: str = "") -> Fault | None:
+    def consume(self, kind: str, target: str = "") -> Fault | None:
         """Finds a fault that is on and uses up one of its strikes."""
         for fault in self._faults:
             if fault.kind != kind or fault.target not in ("", target):
--- a/standins/store/_application.py
+++ b/standins/store/_application.py
@@ -8,9 +8,9 @@
 
 from tornado import web
 
-from standins.faults import FaultTable
+from standins.faults import FaultInjector
 from standins.server import Journal, drop_connection, make_control_routes
-from standins.store._log import Refused, StoreLog, split_records
+from standins.store._topics import AppendRejectedError, TopicStore, split_records
 
 READ_HEAD = struct.Struct(">QQ")
 POLL = 0.01  # seconds between two looks of a read that waits
@@ -30,7 +30,9 @@
 
     target = ""
 
-    def initialize(self, log: StoreLog, faults: FaultTable, journal: Journal) -> None:
+    def initialize(
+        self, log: TopicStore, faults: FaultInjector, journal: Journal
+    ) -> None:
         """Stores what the handlers share."""
         self.log = log
         self.faults = faults
@@ -40,17 +42,17 @@
         """Counts the call and applies the faults that come before the effect."""
         name = f"calls_{self.target or 'other'}"
         self.journal.figures[name] = self.journal.figures.get(name, 0) + 1
-        if fault := self.faults.take("slow", self.target):
+        if fault := self.faults.consume("slow", self.target):
             await asyncio.sleep(fault.seconds)
-        if self.faults.take("busy", self.target):
+        if self.faults.consume("busy", self.target):
             raise web.HTTPError(503)
-        if self.faults.take("many", self.target):
+        if self.faults.consume("many", self.target):
             raise web.HTTPError(429)
-        if fault := self.faults.take("silent", self.target):
+        if fault := self.faults.consume("silent", self.target):
             await asyncio.sleep(fault.seconds)
             drop_connection(self)
             raise web.Finish
-        if self.faults.take("reset", self.target):
+        if self.faults.consume("reset", self.target):
             drop_connection(self)
             raise web.Finish
 
@@ -66,13 +68,13 @@
 
     async def post(self) -> None:
         """Appends the body's records."""
-        if fault := self.faults.take("late", self.target):
+        if fault := self.faults.consume("late", self.target):
             asyncio.get_running_loop().call_later(fault.seconds, self._append)
             await asyncio.sleep(fault.seconds)
             drop_connection(self)
             return
         status, fields = self._append()
-        if self.faults.take("lose_answer", self.target):
+        if self.faults.consume("lose_answer", self.target):
             drop_connection(self)
             return
         self.set_status(status)
@@ -90,7 +92,7 @@
                 epoch=int(self.get_argument("epoch", "0")),
                 sequence=int(self.get_argument("sequence", "0")),
             )
-        except Refused as refused:
+        except AppendRejectedError as refused:
             return refused.status, refused.fields
         # Only what checkers look for: progress and presence would fill the journal.
         if topic in SHOWN_TOPICS:
@@ -177,7 +179,7 @@
             term=int(self.request.headers.get("Fencing-Token", "-1")),
             body=json.loads(self.request.body),
         )
-        if self.faults.take("lose_answer", self.target):
+        if self.faults.consume("lose_answer", self.target):
             drop_connection(self)
             return
         self.write({})
@@ -192,7 +194,7 @@
     Returns:
         The application; its ``log`` attribute is what tests may look into.
     """
-    log, faults, journal = StoreLog(retention=retention), FaultTable(), Journal()
+    log, faults, journal = TopicStore(retention=retention), FaultInjector(), Journal()
     shared = {"log": log, "faults": faults, "journal": journal}
     application = web.Application(
         [
