--- a/buckthornstile/duties/__init__.py
+++ b/buckthornstile/duties/__init__.py
@@ -1,4 +1,4 @@
-"""What one process at a time does for all: the lease, loads and usage reports."""
+"""Tasks that one process at a time performs for all: lease, model loads, usage."""
 
 from buckthornstile.duties._lease import (
     DUTY_TOPIC,
--- a/buckthornstile/duties/_lease.py
+++ b/buckthornstile/duties/_lease.py
@@ -1,13 +1,14 @@
-"""The lease of the one process that orders upstreams and reports usage.
+"""The lease of the process that orders model loads and reports usage.
 
-The lease is a fold of one partition of the store. Every append names the end that
-its writer knows, so of several claims one is written, and one that the store
-carries out late finds the partition grown. The term is the offset of the claim.
+The state of the lease is computed from the records of one store partition. Every
+append states the end offset that its writer knows, and the store refuses it if the
+partition has grown since. Of several concurrent claims only one is therefore
+written, and a delayed append is refused. The term is the offset of the claim.
 
-A holder acts only for ``ACT_SHARE`` of the turn bound after it *sent* its newest
-acknowledged renewal; others claim after ``SILENCE_SHARE`` of it without a record,
-counted from when they *read* the last one. Two changes of the holder thus take
-longer than the turn bound.
+The holder may act until ``VALIDITY_FRACTION`` of the turn bound has passed since it
+*sent* its newest acknowledged renewal. Other processes claim the lease when they
+have *read* no lease record for ``CLAIM_TIMEOUT_FRACTION`` of the turn bound. Two
+successive changes of the holder therefore take longer than the turn bound.
 """
 
 import json
@@ -17,15 +18,17 @@
 from buckthornstile.base import ProcessName
 
 DUTY_TOPIC = "duties"
-SILENCE_SHARE = 0.75
-ACT_SHARE = 0.35
-RENEW_SHARE = 0.14
-"""Share of the turn bound between two renewals: two may fail before the act ends."""
+CLAIM_TIMEOUT_FRACTION = 0.75
+"""Fraction of the turn bound without a lease record after which others claim."""
+VALIDITY_FRACTION = 0.35
+"""Fraction of the turn bound for which a renewal lets its holder act."""
+RENEWAL_INTERVAL_FRACTION = 0.14
+"""Fraction of the turn bound between renewals; the lease survives two that fail."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRecord:
-    """A claim, or a renewal of the term that it names."""
+    """A claim of the lease (no term), or a renewal of the given term."""
 
     holder: ProcessName
     term: int | None = None
@@ -33,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SealRecord:
-    """The final counts of a usage window, and whether the platform has them."""
+    """Final counts of a usage window, and whether the platform has received them."""
 
     window: int
     counts: Mapping[str, int]
@@ -44,7 +47,7 @@
 
 
 def encode_duty_record(record: DutyRecord) -> bytes:
-    """Encodes a record."""
+    """Encodes a duty record for the store."""
     if isinstance(record, LeaseRecord):
         return json.dumps(["lease", record.holder, record.term]).encode()
     data = ["seal", record.window, dict(record.counts), record.is_reported]
@@ -52,10 +55,10 @@
 
 
 def decode_duty_record(data: bytes) -> DutyRecord:
-    """Decodes a record.
+    """Decodes a duty record.
 
     Raises:
-        ValueError: It does not have the agreed form.
+        ValueError: The data is not an encoded duty record.
     """
     try:
         kind, *rest = json.loads(data)
@@ -66,20 +69,20 @@
             window, counts, is_reported = rest
             return SealRecord(int(window), dict(counts), bool(is_reported))
     except TypeError as error:
-        raise ValueError(f"duty record: {error}") from error
-    raise ValueError(f"duty record: kind {kind!r} is not known")
+        raise ValueError(f"invalid duty record: {error}") from error
+    raise ValueError(f"duty record has unknown kind {kind!r}")
 
 
 class DutyState:
-    """Folds the records: who holds the lease, and which windows are sealed.
+    """The lease holder and the sealed usage windows, computed from duty records.
 
     Args:
-        clock: Gives the time in seconds; it must go on while suspended.
+        clock: Returns the time in seconds; it must advance while the VM is suspended.
 
     Example:
-        >>> fold = DutyState(lambda: 0.0)
-        >>> fold.apply(4, LeaseRecord("e1"))
-        >>> fold.holder, fold.term
+        >>> state = DutyState(lambda: 0.0)
+        >>> state.apply(4, LeaseRecord("e1"))
+        >>> state.holder, state.term
         ('e1', 4)
     """
 
@@ -92,7 +95,11 @@
         self.seals: dict[int, SealRecord] = {}
 
     def apply(self, offset: int, record: DutyRecord) -> None:
-        """Folds a record."""
+        """Applies the record at an offset.
+
+        The counts of a window's first seal are kept; later seals can only mark the
+        window as reported.
+        """
         self.end_offset = max(self.end_offset, offset + 1)
         if isinstance(record, SealRecord):
             known = self.seals.get(record.window)
@@ -106,19 +113,24 @@
         self.term = offset if record.term is None else record.term
 
     def reset_last_record_at(self) -> None:
-        """Notes that the store was away: its silence then was no holder's."""
+        """Restarts the claim timeout after a store outage.
+
+        No records arrive during an outage, so their absence does not show that the
+        holder has failed.
+        """
         if self.last_record_at is not None:
             self.last_record_at = self.clock()
 
 
 class Lease:
-    """Whether this process holds the lease, and when it should write.
+    """The lease as seen by this process, and the claims and renewals that are due.
 
     Args:
         name: This process's name.
-        state: The fold of the records.
-        clock: Gives the time in seconds; it must go on while suspended.
-        turn_bound: Seconds in which the holder may not change there and back.
+        state: The state computed from the duty records.
+        clock: Returns the time in seconds; it must advance while the VM is suspended.
+        turn_bound: Seconds within which the lease cannot pass from one process to
+            another and back.
     """
 
     def __init__(
@@ -137,33 +149,44 @@
         self._renewed_term = -1
 
     def is_held(self) -> bool:
-        """Whether this process may act now."""
+        """Whether this process holds a valid lease and may act now."""
         is_own = (
             self.state.holder == self.name and self.state.term == self._renewed_term
         )
         age = self.clock() - self._renewed_at
-        return is_own and age < ACT_SHARE * self.turn_bound
+        return is_own and age < VALIDITY_FRACTION * self.turn_bound
 
     def get_remaining_time(self) -> float:
-        """Seconds for which this process may still act."""
-        return self._renewed_at + ACT_SHARE * self.turn_bound - self.clock()
+        """Returns the seconds for which this process may still act."""
+        return self._renewed_at + VALIDITY_FRACTION * self.turn_bound - self.clock()
 
     def get_due_record(self) -> LeaseRecord | None:
-        """Gives the record that should be appended now, if any."""
+        """Returns the claim or renewal that should be appended now, or None."""
         now = self.clock()
         if self.state.holder == self.name:
-            is_due = now - self._renewed_at >= RENEW_SHARE * self.turn_bound
+            is_due = (
+                now - self._renewed_at >= RENEWAL_INTERVAL_FRACTION * self.turn_bound
+            )
             is_due = is_due or self._renewed_term != self.state.term
             return LeaseRecord(self.name, self.state.term) if is_due else None
-        seen_at = self.state.last_record_at
-        if seen_at is None or now - seen_at >= SILENCE_SHARE * self.turn_bound:
+        last_record_at = self.state.last_record_at
+        if (
+            last_record_at is None
+            or now - last_record_at >= CLAIM_TIMEOUT_FRACTION * self.turn_bound
+        ):
             return LeaseRecord(self.name)
         return None
 
     def record_acknowledged(
         self, record: LeaseRecord, offset: int, sent_at: float
     ) -> None:
-        """Notes that a record of this process was acknowledged."""
+        """Records that the store acknowledged a lease record of this process.
+
+        Args:
+            record: The acknowledged record.
+            offset: Its offset in the partition.
+            sent_at: Clock time in seconds at which it was sent.
+        """
         self.state.apply(offset, record)
         self._renewed_at = sent_at
         self._renewed_term = self.state.term
--- a/buckthornstile/duties/_model_loads.py
+++ b/buckthornstile/duties/_model_loads.py
@@ -1,4 +1,4 @@
-"""Plans which engine loads which named version, and when."""
+"""Plans which engine loads which target version of a model, and when."""
 
 import math
 from collections.abc import Callable
@@ -8,26 +8,35 @@
 from buckthornstile.routing import compute_rendezvous_score
 from buckthornstile.topology import ModelName, TopologyView, Upstream
 
-LOADING_SHARE = 0.4
-"""Share of a service's engines that load at the same time; more slow each other."""
-LOAD_TIME = 0.9
-"""Seconds that a load takes at least; then the engine is asked for its state."""
-BUSY_PAUSE = 0.15
-"""Seconds between two questions to an engine that still loads."""
-DOUBT_PAUSE = 0.4
-"""Seconds before an engine whose order had no answer is asked."""
-ALLOWED_LAG = 1
-"""Versions that an engine may be behind the named one and still serve its step."""
-REPLICA_SHARE = 2.0
-"""Engines a model uses, in terms of its even share: each then loads every second
-version, and the loads come to the even share."""
+MAX_LOADING_FRACTION = 0.4
+"""Fraction of a service's engines that may load at the same time.
+
+More concurrent loads slow each other down.
+"""
+MIN_LOAD_SECONDS = 0.9
+"""Minimum seconds that a load takes; the engine's state is polled after that."""
+BUSY_POLL_SECONDS = 0.15
+"""Seconds between two polls of an engine that is still loading."""
+UNKNOWN_OUTCOME_POLL_SECONDS = 0.4
+"""Seconds after an order without a response until the engine is polled."""
+MAX_VERSION_LAG = 1
+"""Versions that an engine may be behind the target version and still serve its step."""
+REPLICA_FACTOR = 2.0
+"""Number of engines that a model uses, as a multiple of its even share of engines.
+
+With 2.0, each of them loads every second version, so the model causes as many loads
+as if its even share of engines loaded every version.
+"""
 MIN_REPLICAS = 4
-"""Engines a model uses where there are so many: half of them serve a step at once."""
+"""Minimum number of engines that a model uses, if the service has that many.
+
+Half of them can then serve a new step without waiting for a load.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedModelLoad:
-    """A load that should be ordered now."""
+    """A model load that should be ordered now."""
 
     upstream: UpstreamId
     model: ModelName
@@ -36,7 +45,11 @@
 
 @dataclass(slots=True)
 class _Engine:
-    """What the planner knows of one incarnation beyond its last entry."""
+    """State of one incarnation of an engine, as known to the planner.
+
+    It can be newer than the engine's last published record. ``order_count`` is the
+    number of load orders that the engine has accepted, or None if not known.
+    """
 
     started_at_ms: int
     versions: dict[ModelName, int] = field(default_factory=dict)
@@ -46,8 +59,8 @@
 
 
 @dataclass(slots=True)
-class _Wanted:
-    """A load that a model wants; the smallest rank goes first."""
+class _LoadCandidate:
+    """A load that a model could use; the lowest rank is ordered first."""
 
     load: PlannedModelLoad
     engine: _Engine
@@ -55,15 +68,16 @@
 
 
 class ModelLoadPlanner:
-    """Chooses loads for the holder of the lease.
+    """Plans the model loads that the lease holder orders.
 
-    Of a model's engines those that are two versions behind load at once; those that
-    are one behind only while the model's share of loads allows it.
+    Engines of a model that are two or more versions behind load without delay.
+    Engines that are one version behind load only while the model has credit: a new
+    target version adds its even share of engines, and each accepted load costs 1.
 
     Args:
-        view: The topology in force.
-        clock: Gives the steady time in seconds.
-        is_ejected: Tells whether an upstream failed just now.
+        view: The topology in effect.
+        clock: Returns the monotonic time in seconds.
+        is_ejected: Returns whether an upstream is ejected because it failed recently.
     """
 
     def __init__(
@@ -78,59 +92,61 @@
         self.is_ejected = is_ejected
         self._engines: dict[UpstreamId, _Engine] = {}
         self._credit: dict[ModelName, float] = {}
-        self._credited: dict[ModelName, int] = {}
+        self._credited_versions: dict[ModelName, int] = {}
 
     def plan(self) -> list[PlannedModelLoad]:
-        """Gives the loads that should be ordered now."""
+        """Returns the loads that should be ordered now."""
         planned: list[PlannedModelLoad] = []
         for service, models in self.view.get_models_by_service().items():
             planned += self._plan_service(service, models)
         return planned
 
     def list_upstreams_to_poll(self) -> list[UpstreamId]:
-        """Lists the engines whose last order has an unknown outcome."""
+        """Lists the engines whose state should be polled now."""
         now = self.clock()
         return [
-            name
-            for name, engine in self._engines.items()
+            upstream_id
+            for upstream_id, engine in self._engines.items()
             if engine.next_poll_at is not None and now >= engine.next_poll_at
         ]
 
     def get_order_count(self, upstream_id: UpstreamId) -> int | None:
-        """The count of orders that an engine has taken, or None if not known."""
-        engine, _ = self._find(upstream_id)
+        """Returns the number of orders an engine has accepted, or None if not known."""
+        engine, _ = self._find_engine(upstream_id)
         return engine.order_count if engine is not None else None
 
     def record_accepted(self, load: PlannedModelLoad) -> None:
-        """Notes that an engine took an order."""
-        engine, upstream = self._find(load.upstream)
+        """Records that an engine accepted a load order."""
+        engine, upstream = self._find_engine(load.upstream)
         if engine is None or upstream is None:
             return
         if engine.order_count is not None:
             engine.order_count += 1
-        engine.next_poll_at = engine.loading_until = self.clock() + LOAD_TIME
+        engine.next_poll_at = engine.loading_until = self.clock() + MIN_LOAD_SECONDS
         self._credit[load.model] = self._credit.get(load.model, 0.0) - 1
 
     def record_already_loaded(self, load: PlannedModelLoad) -> None:
-        """Notes that an engine has a version already."""
-        engine, _ = self._find(load.upstream)
+        """Records that an engine has loaded a version already."""
+        engine, _ = self._find_engine(load.upstream)
         if engine is not None:
             engine.versions[load.model] = load.version
             engine.next_poll_at = None
 
     def record_unknown_outcome(self, upstream_id: UpstreamId) -> None:
-        """Notes that the outcome of an order is not known."""
-        engine, _ = self._find(upstream_id)
+        """Records that the outcome of a load order is not known."""
+        engine, _ = self._find_engine(upstream_id)
         if engine is not None:
             now = self.clock()
-            engine.next_poll_at = now + DOUBT_PAUSE
-            engine.loading_until = max(engine.loading_until, now + DOUBT_PAUSE)
+            engine.next_poll_at = now + UNKNOWN_OUTCOME_POLL_SECONDS
+            engine.loading_until = max(
+                engine.loading_until, now + UNKNOWN_OUTCOME_POLL_SECONDS
+            )
 
     def list_unpublished_versions(self) -> dict[UpstreamId, dict[ModelName, int]]:
-        """Lists what engines hold that their entries do not show yet."""
-        fresh: dict[UpstreamId, dict[ModelName, int]] = {}
-        for name, engine in self._engines.items():
-            upstream = self.view.upstreams.get(name)
+        """Lists the loaded versions that the engines' published records lack so far."""
+        unpublished: dict[UpstreamId, dict[ModelName, int]] = {}
+        for upstream_id, engine in self._engines.items():
+            upstream = self.view.upstreams.get(upstream_id)
             if upstream is None or upstream.started_at_ms != engine.started_at_ms:
                 continue
             newer = {
@@ -139,8 +155,8 @@
                 if version > upstream.versions.get(model, 0)
             }
             if newer:
-                fresh[name] = newer
-        return fresh
+                unpublished[upstream_id] = newer
+        return unpublished
 
     def record_report(
         self,
@@ -149,18 +165,27 @@
         order_count: int,
         is_busy: bool,
     ) -> None:
-        """Notes what an engine itself says."""
-        engine, _ = self._find(upstream_id)
+        """Records the state that an engine returned when it was polled.
+
+        Args:
+            upstream_id: The engine.
+            versions: The loaded version of each model.
+            order_count: Number of load orders that the engine has accepted.
+            is_busy: Whether it is still loading.
+        """
+        engine, _ = self._find_engine(upstream_id)
         if engine is None:
             return
         engine.versions.update(versions)
         engine.order_count = order_count
         now = self.clock()
-        engine.next_poll_at = now + BUSY_PAUSE if is_busy else None
-        engine.loading_until = now + BUSY_PAUSE if is_busy else 0.0
+        engine.next_poll_at = now + BUSY_POLL_SECONDS if is_busy else None
+        engine.loading_until = now + BUSY_POLL_SECONDS if is_busy else 0.0
 
-    def _find(self, name: UpstreamId) -> tuple[_Engine | None, Upstream | None]:
-        upstream = self.view.upstreams.get(name)
+    def _find_engine(
+        self, upstream_id: UpstreamId
+    ) -> tuple[_Engine | None, Upstream | None]:
+        upstream = self.view.upstreams.get(upstream_id)
         return (self._get_engine(upstream), upstream) if upstream else (None, None)
 
     def _get_engine(self, upstream: Upstream) -> _Engine:
@@ -177,97 +202,105 @@
     ) -> list[PlannedModelLoad]:
         now = self.clock()
         engines = [
-            (one, self._get_engine(one))
-            for one in self.view.list_available_upstreams(service)
+            (upstream, self._get_engine(upstream))
+            for upstream in self.view.list_available_upstreams(service)
         ]
-        self._forget_gone()
-        loading = sum(
+        self._remove_absent_engines()
+        loading_count = sum(
             engine.loading_until > now or engine.next_poll_at is not None
             for upstream, engine in engines
             if not self.is_ejected(upstream)
         )
-        room = math.ceil(LOADING_SHARE * len(engines)) - loading
-        assigned: dict[UpstreamId, int] = {}
-        wanted: list[_Wanted] = []
+        free_slots = math.ceil(MAX_LOADING_FRACTION * len(engines)) - loading_count
+        replica_counts: dict[UpstreamId, int] = {}
+        candidates: list[_LoadCandidate] = []
         for model in models:
-            named = self.view.target_versions.get(model, 0)
-            if named < 2 or not engines:
+            target_version = self.view.target_versions.get(model, 0)
+            if target_version < 2 or not engines:
                 continue
-            share = len(engines) / len(models)
-            self._give_credit(model, named, share)
-            count = min(len(engines), max(MIN_REPLICAS, round(REPLICA_SHARE * share)))
-            chosen = self._choose_replicas(model, named, engines, count, assigned)
-            wanted += self._list_wanted(model, named, chosen, now)
-        return self._take_most_urgent(wanted, room, now)
-
-    def _take_most_urgent(
-        self, wanted: list["_Wanted"], room: int, now: float
+            even_share = len(engines) / len(models)
+            self._add_credit(model, target_version, even_share)
+            replica_count = min(
+                len(engines), max(MIN_REPLICAS, round(REPLICA_FACTOR * even_share))
+            )
+            replicas = self._choose_replicas(
+                model, target_version, engines, replica_count, replica_counts
+            )
+            candidates += self._list_candidates(model, target_version, replicas, now)
+        return self._select_loads(candidates, free_slots, now)
+
+    def _select_loads(
+        self, candidates: list["_LoadCandidate"], free_slots: int, now: float
     ) -> list[PlannedModelLoad]:
         planned: list[PlannedModelLoad] = []
-        taken: set[UpstreamId] = set()
-        for one in sorted(wanted, key=lambda one: one.rank):
-            name = one.load.upstream
-            if room <= 0 or name in taken:
+        selected: set[UpstreamId] = set()
+        for candidate in sorted(candidates, key=lambda candidate: candidate.rank):
+            upstream_id = candidate.load.upstream
+            if free_slots <= 0 or upstream_id in selected:
                 continue
-            taken.add(name)
-            room -= 1
-            if one.engine.order_count is None:
-                # An order needs the count of earlier ones: ask for it first.
-                one.engine.next_poll_at = now
+            selected.add(upstream_id)
+            free_slots -= 1
+            if candidate.engine.order_count is None:
+                # An order must state the count of earlier orders, which a poll returns.
+                candidate.engine.next_poll_at = now
                 continue
-            planned.append(one.load)
+            planned.append(candidate.load)
         return planned
 
-    def _give_credit(self, model: ModelName, named: int, share: float) -> None:
-        fresh = named - self._credited.get(model, named - 1)
-        self._credited[model] = named
-        credit = self._credit.get(model, 0.0) + fresh * share
-        self._credit[model] = min(credit, 2 * share)
+    def _add_credit(
+        self, model: ModelName, target_version: int, even_share: float
+    ) -> None:
+        new_versions = target_version - self._credited_versions.get(
+            model, target_version - 1
+        )
+        self._credited_versions[model] = target_version
+        credit = self._credit.get(model, 0.0) + new_versions * even_share
+        self._credit[model] = min(credit, 2 * even_share)
 
     def _choose_replicas(
         self,
         model: ModelName,
-        named: int,
+        target_version: int,
         engines: list[tuple[Upstream, _Engine]],
-        count: int,
-        assigned: dict[UpstreamId, int],
+        replica_count: int,
+        replica_counts: dict[UpstreamId, int],
     ) -> list[tuple[Upstream, _Engine]]:
-        def rank(one: tuple[Upstream, _Engine]) -> tuple[int, int, int, int]:
-            upstream, engine = one
-            lag = named - engine.versions.get(model, 0)
+        def rank(candidate: tuple[Upstream, _Engine]) -> tuple[int, int, int, int]:
+            upstream, engine = candidate
+            lag = target_version - engine.versions.get(model, 0)
             return (
                 int(self.is_ejected(upstream)),
-                max(0, lag - ALLOWED_LAG - 1),
-                assigned.get(upstream.id, 0),
+                max(0, lag - MAX_VERSION_LAG - 1),
+                replica_counts.get(upstream.id, 0),
                 -compute_rendezvous_score(model, upstream.id),
             )
 
-        chosen = sorted(engines, key=rank)[:count]
-        for upstream, _ in chosen:
-            assigned[upstream.id] = assigned.get(upstream.id, 0) + 1
-        return chosen
+        replicas = sorted(engines, key=rank)[:replica_count]
+        for upstream, _ in replicas:
+            replica_counts[upstream.id] = replica_counts.get(upstream.id, 0) + 1
+        return replicas
 
-    def _list_wanted(
+    def _list_candidates(
         self,
         model: ModelName,
-        named: int,
-        chosen: list[tuple[Upstream, _Engine]],
+        target_version: int,
+        replicas: list[tuple[Upstream, _Engine]],
         now: float,
-    ) -> list["_Wanted"]:
-        """Lists the loads that a model wants now.
+    ) -> list["_LoadCandidate"]:
+        """Lists the loads that a model could use now.
 
-        Those of the model that the fewest engines can serve come first; those that
-        only its credit allows come last.
+        Loads of the model that the fewest engines can serve get the lowest rank;
+        loads that depend on the model's credit get the highest rank.
         """
-        lags = [
-            (named - engine.versions.get(model, 0), upstream, engine)
-            for upstream, engine in chosen
+        lagging = [
+            (target_version - engine.versions.get(model, 0), upstream, engine)
+            for upstream, engine in replicas
         ]
-        able = sum(lag <= ALLOWED_LAG for lag, _, _ in lags)
+        ready_count = sum(lag <= MAX_VERSION_LAG for lag, _, _ in lagging)
         credit = self._credit.get(model, 0.0)
-        wanted: list[_Wanted] = []
-        optional = 0
-        for lag, upstream, engine in sorted(lags, key=lambda one: -one[0]):
+        candidates: list[_LoadCandidate] = []
+        optional_count = 0
+        for lag, upstream, engine in sorted(lagging, key=lambda entry: -entry[0]):
             if (
                 lag <= 0
                 or engine.loading_until > now
@@ -276,16 +309,18 @@
                 continue
             if self.is_ejected(upstream):
                 continue
-            load = PlannedModelLoad(upstream.id, model, named)
-            if lag > ALLOWED_LAG:
-                wanted.append(_Wanted(load, engine, (able + len(wanted), -lag)))
-            # Engines that can serve the step now must not all load at once.
-            elif credit - len(wanted) >= 1 and optional + 1 < able:
-                wanted.append(_Wanted(load, engine, (len(chosen), -lag)))
-                optional += 1
-        return wanted
-
-    def _forget_gone(self) -> None:
-        for name in list(self._engines):
-            if name not in self.view.upstreams:
-                del self._engines[name]
+            load = PlannedModelLoad(upstream.id, model, target_version)
+            if lag > MAX_VERSION_LAG:
+                candidates.append(
+                    _LoadCandidate(load, engine, (ready_count + len(candidates), -lag))
+                )
+            # Of the engines that can serve the step now, at least one must not load.
+            elif credit - len(candidates) >= 1 and optional_count + 1 < ready_count:
+                candidates.append(_LoadCandidate(load, engine, (len(replicas), -lag)))
+                optional_count += 1
+        return candidates
+
+    def _remove_absent_engines(self) -> None:
+        for upstream_id in list(self._engines):
+            if upstream_id not in self.view.upstreams:
+                del self._engines[upstream_id]
--- a/buckthornstile/duties/_usage.py
+++ b/buckthornstile/duties/_usage.py
@@ -1,4 +1,4 @@
-"""Counts of requests by window and account, and what is to be sealed."""
+"""Counts of requests by usage window and account, and the windows to seal."""
 
 from collections.abc import Iterable, Mapping
 from math import inf
@@ -6,18 +6,19 @@
 from buckthornstile.base import AccountId, ProcessName
 from buckthornstile.duties._lease import SealRecord
 
-KEPT_WINDOWS = 4
-PATIENCE_SHARE = 0.6
-"""Share of the time until a report is due for which a window waits for counts."""
-SEAL_MARGIN = 2.2
-"""Seconds after a window's end for its last counts to arrive."""
+RETAINED_PAST_WINDOWS = 4
+"""Number of windows before the current one whose counts a process publishes."""
+COUNT_WAIT_FRACTION = 0.6
+"""Fraction of the report timeout for which a window waits for missing counts."""
+SEAL_DELAY_SECONDS = 2.2
+"""Seconds from a window's end until it is sealed, so that its last counts arrive."""
 
 
 class UsageCounter:
-    """This process's requests, by the window in which they began to run.
+    """Counts this process's requests by the window in which they started.
 
     Args:
-        window: Seconds of a window.
+        window: Length of a window in seconds.
 
     Example:
         >>> counter = UsageCounter(5.0)
@@ -31,13 +32,13 @@
         self._counts: dict[int, dict[str, int]] = {}
 
     def count(self, account: AccountId, wall_time: float) -> None:
-        """Counts a request that began at a time, in seconds since the epoch."""
+        """Counts a request that started at ``wall_time`` (seconds since the epoch)."""
         counts = self._counts.setdefault(int(wall_time // self.window), {})
         counts[account] = counts.get(account, 0) + 1
 
     def get_counts(self, wall_time: float) -> dict[int, dict[str, int]]:
-        """Gives the counts of the last windows and drops older ones."""
-        oldest = int(wall_time // self.window) - KEPT_WINDOWS
+        """Returns the counts of the latest windows and drops older ones."""
+        oldest = int(wall_time // self.window) - RETAINED_PAST_WINDOWS
         self._counts = {
             window: counts
             for window, counts in self._counts.items()
@@ -47,10 +48,10 @@
 
 
 class UsageTotals:
-    """Sums what all processes counted.
+    """Sums the counts of all processes.
 
     Args:
-        window: Seconds of a window.
+        window: Length of a window in seconds.
 
     Example:
         >>> totals = UsageTotals(5.0)
@@ -69,22 +70,22 @@
         self,
         process: ProcessName,
         counts: Mapping[int, Mapping[str, int]],
-        made_at: float,
+        counted_at: float,
     ) -> None:
-        """Notes a process's running counts; the newest replace earlier ones.
+        """Records a process's counts, which replace its earlier ones.
 
         Args:
             process: The process.
             counts: Its counts, by window and account.
-            made_at: When it counted them, in seconds since the epoch by its clock.
+            counted_at: Time of the counts on its clock, in seconds since the epoch.
         """
-        if made_at < self._counted_at.get(process, -inf):
-            return  # the store carried out an earlier record late
-        self._counted_at[process] = made_at
+        if counted_at < self._counted_at.get(process, -inf):
+            return  # The store appended an older record late.
+        self._counted_at[process] = counted_at
         for window, by_account in counts.items():
             self._counts.setdefault(window, {})[process] = by_account
         newest = max(self._counts, default=0)
-        for window in [one for one in self._counts if one < newest - 10]:
+        for window in [number for number in self._counts if number < newest - 10]:
             del self._counts[window]
 
     def sum_window(self, window: int) -> dict[str, int]:
@@ -99,25 +100,30 @@
         self,
         seals: Mapping[int, SealRecord],
         wall_time: float,
-        due: float,
-        counting: Iterable[ProcessName] = (),
+        report_timeout: float,
+        processes: Iterable[ProcessName] = (),
     ) -> list[int]:
-        """Finds windows that are over, known here and not sealed.
+        """Finds the finished windows that are not sealed and should be sealed now.
 
-        A window waits for every process that may have counts to have told them after
-        the window's end, as far as that leaves time to report it.
+        A window waits until every process that may have counts has published them
+        after the window's end, but at most ``COUNT_WAIT_FRACTION`` of the report
+        timeout, so that time is left to report it.
 
         Args:
-            seals: The windows that are sealed.
+            seals: The seals of the windows that are sealed.
             wall_time: Seconds since the epoch.
-            due: Seconds after its end for which a report is still worth something.
-            counting: The processes that may have counts.
+            report_timeout: Seconds after a window's end within which the window can
+                still be reported.
+            processes: The processes that may have counts.
+
+        Returns:
+            The numbers of the windows, in ascending order.
         """
         counted_by_all = min(
-            (self._counted_at.get(name, -inf) for name in counting), default=inf
+            (self._counted_at.get(name, -inf) for name in processes), default=inf
         )
-        last = int((wall_time - SEAL_MARGIN) // self.window) - 1
-        oldest = int((wall_time - due) // self.window)
+        last = int((wall_time - SEAL_DELAY_SECONDS) // self.window) - 1
+        oldest = int((wall_time - report_timeout) // self.window)
         first = min(self._counts, default=last + 1)
         return [
             window
@@ -125,6 +131,7 @@
             if window not in seals
             and (
                 counted_by_all >= (window + 1) * self.window
-                or wall_time >= (window + 1) * self.window + PATIENCE_SHARE * due
+                or wall_time
+                >= (window + 1) * self.window + COUNT_WAIT_FRACTION * report_timeout
             )
         ]
--- a/buckthornstile/duties/tests/test_model_loads.py
+++ b/buckthornstile/duties/tests/test_model_loads.py
@@ -1,4 +1,4 @@
-"""Which engine loads which version, and when."""
+"""Tests of the planner that chooses which engine loads which version, and when."""
 
 from buckthornstile.duties import ModelLoadPlanner, PlannedModelLoad
 from buckthornstile.topology import (
@@ -9,8 +9,8 @@
 )
 
 
-class World:
-    """A view, a clock and engines that carry loads out."""
+class Simulation:
+    """A topology view, a clock, and engines that execute loads."""
 
     def __init__(self, *, engines: int, models: int) -> None:
         self.now = 0.0
@@ -23,25 +23,25 @@
         self.versions = {
             f"e{number}": dict.fromkeys(self.models, 1) for number in range(engines)
         }
-        self.suspects: set[str] = set()
+        self.ejected: set[str] = set()
         self.planner = ModelLoadPlanner(
             self.view,
             clock=lambda: self.now,
-            is_ejected=lambda upstream: upstream.id in self.suspects,
+            is_ejected=lambda upstream: upstream.id in self.ejected,
         )
         self.loads: list[tuple[float, PlannedModelLoad]] = []
-        self.orders = dict.fromkeys(self.versions, 0)
+        self.order_counts = dict.fromkeys(self.versions, 0)
         self.busy: dict[str, tuple[float, PlannedModelLoad]] = {}
         for number, name in enumerate(self.versions):
             self.view.apply_upstream(
                 Upstream(name, "engines", "127.0.0.1", 9000 + number, "a", 8), 0.0
             )
 
-    def name(self, model: str, version: int) -> None:
+    def set_target_version(self, model: str, version: int) -> None:
         self.view.apply_target_version(model, version)
 
     def step(self, seconds: float = 0.1) -> list[PlannedModelLoad]:
-        """Plans once; engines carry out what they are told in one second."""
+        """Plans once; each engine finishes an ordered load after one second."""
         self.now += seconds
         for engine, (until, load) in list(self.busy.items()):
             if until <= self.now:
@@ -50,15 +50,15 @@
         planned = self.planner.plan()
         for name in self.planner.list_upstreams_to_poll():
             self.planner.record_report(
-                name, self.versions[name], self.orders[name], name in self.busy
+                name, self.versions[name], self.order_counts[name], name in self.busy
             )
         for load in planned:
             assert load.upstream not in self.busy
             assert (
                 self.planner.get_order_count(load.upstream)
-                == (self.orders[load.upstream])
+                == (self.order_counts[load.upstream])
             )
-            self.orders[load.upstream] += 1
+            self.order_counts[load.upstream] += 1
             self.busy[load.upstream] = (self.now + 1.0, load)
             self.loads.append((self.now, load))
             self.planner.record_accepted(load)
@@ -68,94 +68,98 @@
         for _ in range(round(seconds / 0.1)):
             self.step()
 
-    def count_able(self, model: str, named: int) -> int:
-        return sum(versions[model] >= named - 1 for versions in self.versions.values())
+    def count_servable(self, model: str, target_version: int) -> int:
+        return sum(
+            versions[model] >= target_version - 1 for versions in self.versions.values()
+        )
 
 
-def test_no_order_before_the_count_of_earlier_ones_is_known() -> None:
-    world = World(engines=1, models=1)
-    world.name("m0", 3)
-    assert world.step() == []
-    assert world.step() == [PlannedModelLoad("e0", "m0", 3)]
+def test_no_load_is_ordered_before_the_order_count_is_known() -> None:
+    simulation = Simulation(engines=1, models=1)
+    simulation.set_target_version("m0", 3)
+    assert simulation.step() == []
+    assert simulation.step() == [PlannedModelLoad("e0", "m0", 3)]
 
 
-def test_some_engine_can_always_serve_the_named_version() -> None:
-    world = World(engines=4, models=3)
+def test_some_engine_can_always_serve_the_target_version() -> None:
+    simulation = Simulation(engines=4, models=3)
     for version in range(2, 12):
-        for model in world.models:
-            world.name(model, version)
+        for model in simulation.models:
+            simulation.set_target_version(model, version)
         for _ in range(40):
-            world.step()
-            for model in world.models:
-                assert world.count_able(model, version) >= 1 or world.now < 4
-        for model in world.models:
-            assert world.count_able(model, version) >= 2
+            simulation.step()
+            for model in simulation.models:
+                assert (
+                    simulation.count_servable(model, version) >= 1 or simulation.now < 4
+                )
+        for model in simulation.models:
+            assert simulation.count_servable(model, version) >= 2
 
 
-def test_loads_stay_near_the_even_share() -> None:
-    world = World(engines=4, models=3)
+def test_number_of_loads_stays_near_the_even_share() -> None:
+    simulation = Simulation(engines=4, models=3)
     for version in range(2, 22):
-        world.name("m0", version)
-        world.run(4.0)
-    assert len(world.loads) <= 20 * 2
+        simulation.set_target_version("m0", version)
+        simulation.run(4.0)
+    assert len(simulation.loads) <= 20 * 2
 
 
-def test_one_model_keeps_all_engines_near_the_newest() -> None:
-    world = World(engines=5, models=1)
+def test_single_model_keeps_all_engines_servable() -> None:
+    simulation = Simulation(engines=5, models=1)
     for version in range(2, 8):
-        world.name("m0", version)
-        world.run(4.0)
-        assert world.count_able("m0", version) == 5
+        simulation.set_target_version("m0", version)
+        simulation.run(4.0)
+        assert simulation.count_servable("m0", version) == 5
 
 
-def test_few_engines_load_at_once() -> None:
-    world = World(engines=10, models=1)
-    world.name("m0", 4)
+def test_concurrent_loads_are_limited() -> None:
+    simulation = Simulation(engines=10, models=1)
+    simulation.set_target_version("m0", 4)
     for _ in range(60):
-        world.step()
-        assert len(world.busy) <= 4
-    assert world.count_able("m0", 4) == 10
-
-
-def test_failed_engine_gets_no_order_and_others_take_its_place() -> None:
-    world = World(engines=4, models=3)
-    world.suspects = {"e1"}
-    world.name("m0", 3)
-    world.run(6.0)
-    assert all(load.upstream != "e1" for _, load in world.loads)
-    assert world.count_able("m0", 3) >= 2
-
-
-def test_unanswered_order_is_asked_for_before_the_next() -> None:
-    world = World(engines=1, models=1)
-    world.name("m0", 3)
-    world.step()
-    planned = world.planner.plan()
-    world.planner.record_unknown_outcome("e0")
+        simulation.step()
+        assert len(simulation.busy) <= 4
+    assert simulation.count_servable("m0", 4) == 10
+
+
+def test_ejected_engine_gets_no_order_and_others_replace_it() -> None:
+    simulation = Simulation(engines=4, models=3)
+    simulation.ejected = {"e1"}
+    simulation.set_target_version("m0", 3)
+    simulation.run(6.0)
+    assert all(load.upstream != "e1" for _, load in simulation.loads)
+    assert simulation.count_servable("m0", 3) >= 2
+
+
+def test_engine_with_unknown_outcome_is_polled_before_the_next_order() -> None:
+    simulation = Simulation(engines=1, models=1)
+    simulation.set_target_version("m0", 3)
+    simulation.step()
+    planned = simulation.planner.plan()
+    simulation.planner.record_unknown_outcome("e0")
     assert planned
-    assert world.planner.plan() == []
-    world.now += 0.5
-    assert world.planner.list_upstreams_to_poll() == ["e0"]
-    world.planner.record_report("e0", {"m0": 3}, 1, False)
-    assert world.planner.plan() == []
-
-
-def test_new_incarnation_starts_anew() -> None:
-    world = World(engines=1, models=1)
-    world.name("m0", 3)
-    world.run(3.0)
-    assert world.planner.get_order_count("e0") == 1
-    fresh = Upstream("e0", "engines", "127.0.0.1", 9000, "a", 8, started_at_ms=5)
-    world.view.apply_upstream(fresh, world.now)
-    assert world.planner.get_order_count("e0") is None
-
-
-def test_dark_engines_do_not_hold_up_the_others() -> None:
-    world = World(engines=4, models=1)
-    world.name("m0", 3)
-    world.planner.plan()
+    assert simulation.planner.plan() == []
+    simulation.now += 0.5
+    assert simulation.planner.list_upstreams_to_poll() == ["e0"]
+    simulation.planner.record_report("e0", {"m0": 3}, 1, False)
+    assert simulation.planner.plan() == []
+
+
+def test_order_count_of_a_new_incarnation_is_unknown() -> None:
+    simulation = Simulation(engines=1, models=1)
+    simulation.set_target_version("m0", 3)
+    simulation.run(3.0)
+    assert simulation.planner.get_order_count("e0") == 1
+    restarted = Upstream("e0", "engines", "127.0.0.1", 9000, "a", 8, started_at_ms=5)
+    simulation.view.apply_upstream(restarted, simulation.now)
+    assert simulation.planner.get_order_count("e0") is None
+
+
+def test_unreachable_engines_do_not_block_loads_of_others() -> None:
+    simulation = Simulation(engines=4, models=1)
+    simulation.set_target_version("m0", 3)
+    simulation.planner.plan()
     for name in ("e0", "e1"):
-        world.planner.record_unknown_outcome(name)
-    world.suspects = {"e0", "e1"}
-    world.run(5.0)
-    assert world.versions["e2"]["m0"] == world.versions["e3"]["m0"] == 3
+        simulation.planner.record_unknown_outcome(name)
+    simulation.ejected = {"e0", "e1"}
+    simulation.run(5.0)
+    assert simulation.versions["e2"]["m0"] == simulation.versions["e3"]["m0"] == 3
--- a/buckthornstile/duties/tests/test_orders_machine.py
+++ b/buckthornstile/duties/tests/test_orders_machine.py
@@ -1,4 +1,4 @@
-"""Orders against a model of an engine: lost answers, late orders, two holders."""
+"""Model-based test of load orders: lost responses, late orders and two holders."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -27,45 +27,47 @@
 
 
 class Engine:
-    """What an engine does with orders, as the platform's protocol says."""
+    """An engine that handles load orders according to the platform's protocol."""
 
     def __init__(self) -> None:
         self.versions = dict.fromkeys(MODELS, 1)
-        self.orders = 0
-        self.until = 0.0
+        self.order_count = 0
+        self.loading_until = 0.0
         self.load: PlannedModelLoad | None = None
         self.loaded: list[tuple[str, int]] = []
 
     def finish(self, now: float) -> None:
-        if self.load is not None and now >= self.until:
+        if self.load is not None and now >= self.loading_until:
             self.versions[self.load.model] = self.load.version
             self.load = None
 
-    def take(self, order: Order, now: float) -> str:
-        """Takes an order; says whether it did."""
+    def handle_order(self, order: Order, now: float) -> str:
+        """Handles a load order and returns its outcome."""
         load, expected = order
         self.finish(now)
-        if self.load is not None or (expected is not None and expected != self.orders):
+        if self.load is not None or (
+            expected is not None and expected != self.order_count
+        ):
             return "refused"
         if self.versions[load.model] == load.version:
-            return "holds"
-        self.orders += 1
-        self.load, self.until = load, now + LOAD_SECONDS
+            return "already loaded"
+        self.order_count += 1
+        self.load, self.loading_until = load, now + LOAD_SECONDS
         self.loaded.append((load.model, load.version))
         return "accepted"
 
 
 class OrdersMachine(RuleBasedStateMachine):
-    """Two planners, of which either may believe that it holds the lease."""
+    """Two planners, each of which may act as the lease holder at any time."""
 
-    names_count = True
+    sends_order_count = True
 
     @initialize()
     def start(self) -> None:
         self.now = 100.0
         self.engines = {name: Engine() for name in ENGINES}
-        self.late: list[Order] = []
-        self.named = dict.fromkeys(MODELS, 1)
+        self.late_orders: list[Order] = []
+        self.target_versions = dict.fromkeys(MODELS, 1)
         self.views: dict[str, TopologyView] = {}
         self.planners: dict[str, ModelLoadPlanner] = {}
         for holder in HOLDERS:
@@ -81,7 +83,7 @@
         for number, name in enumerate(ENGINES):
             upstream = Upstream(name, "engines", "127.0.0.1", 9000 + number, "a", 8)
             view.apply_upstream(upstream, 0.0)
-        for model, version in self.named.items():
+        for model, version in self.target_versions.items():
             view.apply_target_version(model, version)
         self.planners[holder] = ModelLoadPlanner(
             view, clock=lambda: self.now, is_ejected=lambda upstream: False
@@ -94,61 +96,63 @@
             engine.finish(self.now)
 
     @rule(model=st.sampled_from(MODELS), seen_by=st.sampled_from(HOLDERS))
-    def name_version(self, model: str, seen_by: str) -> None:
-        self.named[model] += 1
-        self.views[seen_by].apply_target_version(model, self.named[model])
+    def publish_version(self, model: str, seen_by: str) -> None:
+        self.target_versions[model] += 1
+        self.views[seen_by].apply_target_version(model, self.target_versions[model])
 
     @rule(holder=st.sampled_from(HOLDERS))
-    def read_names(self, holder: str) -> None:
-        for model, version in self.named.items():
+    def read_target_versions(self, holder: str) -> None:
+        for model, version in self.target_versions.items():
             self.views[holder].apply_target_version(model, version)
 
     @rule(
         holder=st.sampled_from(HOLDERS),
-        outcome=st.sampled_from(["answered", "answered", "lost", "late"]),
+        outcome=st.sampled_from(["received", "received", "lost", "late"]),
     )
     def order(self, holder: str, outcome: str) -> None:
-        """Sends what is due, after what is doubted was asked."""
+        """Plans loads, polls the engines that are due and sends the load orders."""
         planner = self.planners[holder]
         loads = planner.plan()
         for name in planner.list_upstreams_to_poll():
-            self.ask(planner, name)
+            self.poll(planner, name)
         for load in loads:
             expected = planner.get_order_count(load.upstream)
             if expected is None:
                 continue
             planner.record_unknown_outcome(load.upstream)
-            order = (load, expected if self.names_count else None)
+            order = (load, expected if self.sends_order_count else None)
             if outcome == "late":
-                self.late.append(order)
+                self.late_orders.append(order)
                 continue
-            answer = self.engines[load.upstream].take(order, self.now)
+            response = self.engines[load.upstream].handle_order(order, self.now)
             if outcome == "lost":
                 continue
-            if answer == "accepted":
+            if response == "accepted":
                 planner.record_accepted(load)
-            elif answer == "holds":
+            elif response == "already loaded":
                 planner.record_already_loaded(load)
 
-    def ask(self, planner: ModelLoadPlanner, name: str) -> None:
+    def poll(self, planner: ModelLoadPlanner, name: str) -> None:
         engine = self.engines[name]
         engine.finish(self.now)
         versions = dict(engine.versions)
-        planner.record_report(name, versions, engine.orders, engine.load is not None)
+        planner.record_report(
+            name, versions, engine.order_count, engine.load is not None
+        )
 
     @rule()
-    def carry_out_late(self) -> None:
-        if self.late:
-            order = self.late.pop(0)
-            self.engines[order[0].upstream].take(order, self.now)
+    def deliver_late(self) -> None:
+        if self.late_orders:
+            order = self.late_orders.pop(0)
+            self.engines[order[0].upstream].handle_order(order, self.now)
 
     @rule()
-    def serve_a_while(self) -> None:
-        """One holder goes on undisturbed."""
-        self.read_names("e1")
+    def run_without_faults(self) -> None:
+        """Lets one holder work for a while without faults."""
+        self.read_target_versions("e1")
         for _ in range(8):
             self.wait(0.5)
-            self.order("e1", "answered")
+            self.order("e1", "received")
 
     @invariant()
     def no_engine_loads_a_version_twice(self) -> None:
@@ -156,17 +160,17 @@
             assert len(engine.loaded) == len(set(engine.loaded))
 
     @invariant()
-    def no_engine_goes_back(self) -> None:
+    def no_engine_is_downgraded(self) -> None:
         for engine in getattr(self, "engines", {}).values():
             for model in MODELS:
-                versions = [version for one, version in engine.loaded if one == model]
+                versions = [version for name, version in engine.loaded if name == model]
                 assert versions == sorted(versions)
 
 
-class CarelessOrdersMachine(OrdersMachine):
-    """Orders that do not name the count of earlier ones."""
+class OrdersWithoutCountMachine(OrdersMachine):
+    """Load orders that do not state the number of earlier orders."""
 
-    names_count = False
+    sends_order_count = False
 
 
 def test_orders_machine() -> None:
@@ -178,27 +182,32 @@
     )
 
 
-def test_late_order_without_a_count_takes_an_engine_back() -> None:
+def test_late_order_without_order_count_downgrades_an_engine() -> None:
+    """A late order reaches an engine that has loaded a newer version since.
+
+    The engine must refuse it because its order count differs from the stated one.
+    Without the count it loads the older version, which the invariant must detect.
+    """
     outcomes = []
-    for kind in (OrdersMachine, CarelessOrdersMachine):
+    for kind in (OrdersMachine, OrdersWithoutCountMachine):
         machine = kind()
         machine.start()
-        machine.name_version("m0", "e1")
-        machine.name_version("m0", "e1")
+        machine.publish_version("m0", "e1")
+        machine.publish_version("m0", "e1")
         machine.order("e1", "late")
         machine.wait(0.5)
         machine.order("e1", "late")
-        machine.name_version("m0", "e1")
+        machine.publish_version("m0", "e1")
         for _ in range(12):
             machine.wait(0.5)
-            machine.order("e1", "answered")
-        while machine.late:
+            machine.order("e1", "received")
+        while machine.late_orders:
             machine.wait(1.2)
-            machine.carry_out_late()
+            machine.deliver_late()
         try:
-            machine.no_engine_goes_back()
+            machine.no_engine_is_downgraded()
         except AssertionError:
-            outcomes.append("went back")
+            outcomes.append("downgraded")
         else:
             outcomes.append("kept")
-    assert outcomes == ["kept", "went back"]
+    assert outcomes == ["kept", "downgraded"]
--- a/buckthornstile/duties/tests/test_usage_windows.py
+++ b/buckthornstile/duties/tests/test_usage_windows.py
@@ -1,9 +1,9 @@
-"""Counts of windows, and which are to be sealed."""
+"""Tests of the counts of usage windows and of the choice of windows to seal."""
 
 from buckthornstile.duties import DutyState, SealRecord, UsageCounter, UsageTotals
 
 
-def test_newest_counts_of_a_process_replace_its_earlier_ones() -> None:
+def test_newest_counts_of_a_process_replace_earlier_counts() -> None:
     totals = UsageTotals(5.0)
     totals.apply("e1", {10: {"mill": 1}}, 60.0)
     totals.apply("e1", {10: {"mill": 3}, 11: {"mill": 1}}, 60.0)
@@ -12,7 +12,7 @@
     assert totals.sum_window(99) == {}
 
 
-def test_windows_are_sealed_once_they_are_over_and_while_due() -> None:
+def test_windows_are_sealed_after_their_end_until_the_report_timeout() -> None:
     totals = UsageTotals(5.0)
     for window in range(8, 13):
         totals.apply("e1", {window: {"mill": 1}}, 60.0)
@@ -23,8 +23,8 @@
     assert totals.find_windows_to_seal({}, 80.0, 10.0) == [14]
 
 
-def test_window_waits_for_what_living_processes_counted() -> None:
-    """After an outage one process's counts may be read long before another's."""
+def test_window_waits_for_the_counts_of_live_processes() -> None:
+    """After an outage, one process's counts may be read long before another's."""
     totals = UsageTotals(5.0)
     totals.apply("e1", {10: {"mill": 1}}, 58.0)
     live = ["e1", "e2"]
@@ -36,29 +36,29 @@
     assert totals.sum_window(10) == {"mill": 4}
 
 
-def test_window_does_not_wait_beyond_its_time() -> None:
+def test_window_does_not_wait_beyond_the_maximum_wait() -> None:
     totals = UsageTotals(5.0)
     totals.apply("e1", {10: {"mill": 1}}, 62.0)
     assert totals.find_windows_to_seal({}, 60.9, 10.0, ["e1", "e2"]) == []
     assert totals.find_windows_to_seal({}, 61.0, 10.0, ["e1", "e2"]) == [10]
 
 
-def test_window_without_requests_is_sealed_too() -> None:
+def test_window_without_requests_is_sealed() -> None:
     totals = UsageTotals(5.0)
     totals.apply("e1", {10: {"mill": 1}}, 60.0)
     assert totals.find_windows_to_seal({}, 68.0, 30.0) == [10, 11, 12]
     assert totals.sum_window(11) == {}
 
 
-def test_first_seal_holds() -> None:
-    fold = DutyState(lambda: 0.0)
-    fold.apply(0, SealRecord(10, {"mill": 1}))
-    fold.apply(1, SealRecord(10, {"mill": 2}))
-    fold.apply(2, SealRecord(10, {"mill": 9}, is_reported=True))
-    assert fold.seals[10] == SealRecord(10, {"mill": 1}, is_reported=True)
+def test_counts_of_the_first_seal_are_kept() -> None:
+    state = DutyState(lambda: 0.0)
+    state.apply(0, SealRecord(10, {"mill": 1}))
+    state.apply(1, SealRecord(10, {"mill": 2}))
+    state.apply(2, SealRecord(10, {"mill": 9}, is_reported=True))
+    assert state.seals[10] == SealRecord(10, {"mill": 1}, is_reported=True)
 
 
-def test_counter_keeps_the_window_in_which_a_request_began() -> None:
+def test_request_counts_in_the_window_in_which_it_started() -> None:
     counter = UsageCounter(5.0)
     counter.count("mill", 54.99)
     counter.count("mill", 55.0)
