--- a/buckthornstile/jobs/__init__.py
+++ b/buckthornstile/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Batch jobs: what is kept of them, and who runs them."""
+"""Batch jobs: their types, their records in the store and the state of all jobs."""
 
 from buckthornstile.jobs._records import (
     JobRecord,
--- a/buckthornstile/jobs/_records.py
+++ b/buckthornstile/jobs/_records.py
@@ -1,8 +1,9 @@
-"""How batch jobs are kept in the store.
+"""Encoding of batch jobs as records of the store.
 
-A key is ``kind/job/item/part.parts``. A value longer than a record holds is split;
-all parts are appended in one call. What an item's runs have made so far is appended
-piece by piece: there the part is the number of its first event.
+A key has the form ``kind/job/item/index.count``. A value that is too long for one
+record is split into ``count`` chunks, which are appended in one call. Events that an
+item has generated so far are appended as progress records, whose ``index`` is the
+number of their first event.
 """
 
 import json
@@ -26,13 +27,13 @@
 
 SPECIFICATION, OWNER, RESULT, END, PROGRESS = "s", "o", "r", "e", "p"
 KINDS = frozenset({SPECIFICATION, OWNER, RESULT, END, PROGRESS})
-KEY_ROOM = 256
-"""Bytes of a record that its key may take."""
+MAX_KEY_BYTES = 256
+"""Maximum bytes of a record that its key takes; the value gets the remaining bytes."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobRecord:
-    """A key and a value of the topic of batch jobs."""
+    """Key and value of one record in the topic of batch jobs."""
 
     key: str
     value: bytes
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerClaim:
-    """Which process runs a batch job, and with which epoch it appends."""
+    """The process that runs a batch job, and the epoch of its appends."""
 
     owner: ProcessName
     epoch: int
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordKey:
-    """A record's key, taken apart."""
+    """The parsed key of a record."""
 
     kind: str
     job: JobId
@@ -58,10 +59,10 @@
 
 
 def parse_key(key: str) -> RecordKey:
-    """Takes a record's key apart.
+    """Parses the key of a record.
 
     Raises:
-        ValueError: It is no key of a batch job's record.
+        ValueError: The key is not that of a batch job's record.
 
     Example:
         >>> parse_key("r/j1/i1/0.1").item
@@ -69,23 +70,23 @@
     """
     words = key.split("/")
     if len(words) != 4 or words[0] not in KINDS:
-        raise ValueError(f"key {key!r} names no record of a batch job")
-    part, _, parts = words[3].partition(".")
+        raise ValueError(f"key {key!r} is not the key of a batch job record")
+    index, _, count = words[3].partition(".")
     item = ItemId(words[2]) if words[2] else None
-    return RecordKey(words[0], JobId(words[1]), item, int(part), int(parts))
+    return RecordKey(words[0], JobId(words[1]), item, int(index), int(count))
 
 
-def _split(prefix: str, value: bytes, room: int) -> Iterator[JobRecord]:
-    parts = max(1, -(-len(value) // room))
-    for part in range(parts):
-        piece = value[part * room : (part + 1) * room]
-        yield JobRecord(f"{prefix}/{part}.{parts}", piece)
+def _split(prefix: str, value: bytes, chunk_bytes: int) -> Iterator[JobRecord]:
+    count = max(1, -(-len(value) // chunk_bytes))
+    for index in range(count):
+        chunk = value[index * chunk_bytes : (index + 1) * chunk_bytes]
+        yield JobRecord(f"{prefix}/{index}.{count}", chunk)
 
 
 def encode_specification(
     specification: JobSpecification, max_record_bytes: int
 ) -> list[JobRecord]:
-    """Encodes an accepted batch job."""
+    """Encodes the specification of an accepted batch job."""
     data = {
         "account": specification.account,
         "host": specification.host,
@@ -101,7 +102,7 @@
     }
     value = zlib.compress(json.dumps(data).encode(), 1)
     prefix = f"{SPECIFICATION}/{specification.id}/"
-    return list(_split(prefix, value, max_record_bytes - KEY_ROOM))
+    return list(_split(prefix, value, max_record_bytes - MAX_KEY_BYTES))
 
 
 def _encode_item(item: JobItem) -> list[object]:
@@ -120,7 +121,7 @@
 
 
 def decode_specification(job: JobId, value: bytes) -> JobSpecification:
-    """Decodes an accepted batch job."""
+    """Decodes the specification of an accepted batch job."""
     data = json.loads(zlib.decompress(value))
     return JobSpecification(
         id=job,
@@ -139,14 +140,14 @@
 
 
 def _decode_item(data: list) -> JobItem:
-    name, path, headers, body, tokens, group, score, expected = data
+    item, path, headers, body, tokens, group, score, expected = data
     call = None
     if score:
         call = ScoreCall(score[0], score[1], score[2], bytes.fromhex(score[3]))
     return JobItem(
-        id=ItemId(name),
+        id=ItemId(item),
         path=path,
-        headers=tuple((one, other) for one, other in headers),
+        headers=tuple((name, value) for name, value in headers),
         body=bytes.fromhex(body),
         tokens=tokens,
         group=group,
@@ -158,47 +159,47 @@
 def encode_result(
     job: JobId, result: ItemResult, max_record_bytes: int
 ) -> list[JobRecord]:
-    """Encodes a result."""
-    runs = [[run.version, run.events] for run in result.version_spans]
-    data = [result.state.value, result.text, runs, result.score]
+    """Encodes the result of an item."""
+    spans = [[span.version, span.events] for span in result.version_spans]
+    data = [result.state.value, result.text, spans, result.score]
     value = json.dumps(data).encode()
     prefix = f"{RESULT}/{job}/{result.item}"
-    return list(_split(prefix, value, max_record_bytes - KEY_ROOM))
+    return list(_split(prefix, value, max_record_bytes - MAX_KEY_BYTES))
 
 
 def decode_result(item: ItemId, value: bytes) -> ItemResult:
-    """Decodes a result."""
-    state, text, runs, score = json.loads(value)
-    version_spans = tuple(VersionSpan(version, events) for version, events in runs)
+    """Decodes the result of an item."""
+    state, text, spans, score = json.loads(value)
+    version_spans = tuple(VersionSpan(version, events) for version, events in spans)
     return ItemResult(item, ResultState(state), text, version_spans, score)
 
 
 def encode_progress(
     job: JobId, item: ItemId, first: int, events: Sequence[StreamEvent]
 ) -> JobRecord:
-    """Encodes events of an item; ``first`` is the number of the first one."""
+    """Encodes generated events of an item; ``first`` is the number of the first."""
     data = [[event.id, event.data, event.version] for event in events]
     key = f"{PROGRESS}/{job}/{item}/{first}.1"
     return JobRecord(key, json.dumps(data).encode())
 
 
 def decode_progress(value: bytes) -> list[StreamEvent]:
-    """Decodes events of an item."""
+    """Decodes generated events of an item."""
     return [StreamEvent(*fields) for fields in json.loads(value)]
 
 
 def encode_claim(job: JobId, claim: OwnerClaim) -> JobRecord:
-    """Encodes who runs a batch job."""
+    """Encodes the claim of the process that runs a batch job."""
     value = json.dumps([claim.owner, claim.epoch]).encode()
     return JobRecord(f"{OWNER}/{job}//0.1", value)
 
 
 def decode_claim(value: bytes) -> OwnerClaim:
-    """Decodes who runs a batch job."""
+    """Decodes the claim of the process that runs a batch job."""
     owner, epoch = json.loads(value)
     return OwnerClaim(ProcessName(owner), epoch)
 
 
 def encode_end(job: JobId) -> JobRecord:
-    """Encodes that a batch job was ended by its client."""
+    """Encodes the record that a client ended its batch job."""
     return JobRecord(f"{END}/{job}//0.1", b"1")
--- a/buckthornstile/jobs/_table.py
+++ b/buckthornstile/jobs/_table.py
@@ -1,4 +1,4 @@
-"""The fold of batch jobs, the same in every process that reads the same log."""
+"""State of batch jobs; it is the same in every process that reads the same records."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
@@ -28,20 +28,24 @@
 )
 from buckthornstile.messages import StreamEvent
 
-EXPIRY_MARGIN = 30.0
-"""Seconds beyond a result's promised lifetime after which a job is dropped."""
+EXPIRY_MARGIN_SECONDS = 30.0
+"""Seconds for which a job is kept beyond the lifetime promised for its results."""
 
 
-OwnedItem = tuple[AccountId, ItemId]
-"""An item and the client account that it runs for."""
+AccountItem = tuple[AccountId, ItemId]
+"""A client account and an item that runs for it."""
 
 
 @dataclass(slots=True)
 class Job:
-    """A batch job as folded; ``results`` are in the order of the log.
-
-    ``started_at`` is this process's steady clock at the submission, ``claimed_at``
-    when the newest claim was read.
+    """The state of a batch job.
+
+    ``part`` is the number of its store partition. ``results`` are in the order of the
+    records, and ``positions`` maps an item to the index of its result. ``started_at``
+    is the time of submission and ``claimed_at`` the time at which the newest claim was
+    read, both in seconds on this process's monotonic clock. ``progress`` holds the
+    stored events of unfinished items by the number of the first event. ``keys`` are
+    the keys of the job's records in the store.
     """
 
     specification: JobSpecification
@@ -60,53 +64,58 @@
 
     @property
     def id(self) -> JobId:
-        """The job's id."""
+        """Id of the job."""
         return self.specification.id
 
     def iterate_pending_items(self) -> Iterator[JobItem]:
-        """Gives the items that are not listed, in the order of submission."""
+        """Yields the items without a result, in the order of submission."""
         for item in self.specification.items:
             if item.id not in self.positions:
                 yield item
 
     def list_progress_keys(self, item: ItemId) -> list[str]:
-        """Lists the keys of an item's stored events."""
+        """Lists the keys of an item's progress records."""
         return [
             f"{PROGRESS}/{self.id}/{item}/{first}.1"
             for first in self.progress.get(item, {})
         ]
 
     def get_progress(self, item: ItemId) -> list[StreamEvent]:
-        """Gives the stored events of an item, as far as none is missing."""
-        pieces = self.progress.get(item, {})
+        """Returns the stored events of an item up to the first missing one."""
+        chunks = self.progress.get(item, {})
         events: list[StreamEvent] = []
-        while len(events) in pieces:
-            events += pieces[len(events)]
+        while len(events) in chunks:
+            events += chunks[len(events)]
         return events
 
-    def get_lifetime(self, least: float) -> float:
-        """Seconds for which its results stay readable, of which it may need some."""
-        return max(least, self.specification.time_limit)
+    def get_lifetime(self, minimum: float) -> float:
+        """Returns the seconds from submission for which the results stay readable.
+
+        Args:
+            minimum: Minimum lifetime in seconds; a longer time limit extends it.
+        """
+        return max(minimum, self.specification.time_limit)
 
     def is_finished(self) -> bool:
-        """Whether every item is listed or its client ended the job."""
+        """Whether every item has a result or the client ended the job."""
         return self.ended or len(self.results) >= len(self.items)
 
 
 @dataclass(slots=True)
-class _Parts:
-    total: int
-    pieces: dict[int, bytes] = field(default_factory=dict)
+class _ChunkedValue:
+    count: int
+    chunks: dict[int, bytes] = field(default_factory=dict)
 
     def join(self) -> bytes:
-        return b"".join(self.pieces[part] for part in range(self.total))
+        return b"".join(self.chunks[index] for index in range(self.count))
 
 
 class JobTable:
-    """Folds the records of batch jobs.
+    """The batch jobs, computed from their records in the store.
 
-    The first specification of an id holds, and the first result of an item; a
-    claim holds if its epoch is the next one.
+    The first specification of a job id and the first result of an item are kept;
+    later ones are ignored. The newest claim of a job is in effect; the store refuses
+    a claim whose epoch is not higher than that of the claim before.
 
     Args:
         on_change: Called with a job after a record changed it.
@@ -118,14 +127,16 @@
 
     def __init__(self, on_change: Callable[[Job], None] | None = None) -> None:
         self.jobs: dict[JobId, Job] = {}
-        self._finished: dict[OwnedItem, tuple[JobItem, ItemResult]] = {}
-        self._jobs_by_item: dict[OwnedItem, set[JobId]] = {}
+        self._complete_results: dict[AccountItem, tuple[JobItem, ItemResult]] = {}
+        self._jobs_by_item: dict[AccountItem, set[JobId]] = {}
         self._on_change = on_change or (lambda _: None)
-        self._parts: dict[str, _Parts] = {}
-        self._early: dict[JobId, list[tuple[RecordKey, int, int, str, bytes]]] = {}
+        self._incomplete_values: dict[str, _ChunkedValue] = {}
+        self._early_records: dict[
+            JobId, list[tuple[RecordKey, int, int, str, bytes]]
+        ] = {}
 
     def find(self, job: JobId) -> Job | None:
-        """Finds a job that is still kept."""
+        """Returns a job, or None if it is not known."""
         return self.jobs.get(job)
 
     def apply(
@@ -138,45 +149,46 @@
         *,
         wall_time: float,
     ) -> None:
-        """Folds one record.
+        """Applies one record.
 
         Args:
-            part: The partition it came from.
-            offset: Its offset there.
-            key: Its key.
-            value: Its value, or None if the key was dropped.
-            now: The steady clock, in seconds.
+            part: Number of the partition of the record.
+            offset: Offset of the record in the partition.
+            key: Key of the record.
+            value: Value of the record, or None if the key was deleted.
+            now: Monotonic time in seconds.
             wall_time: Seconds since the epoch.
 
         Raises:
-            ValueError: It is no record of a batch job.
+            ValueError: The key is not that of a batch job's record.
         """
         parsed = parse_key(key)
         if value is None:
             self._drop(parsed, key)
             return
-        whole = self._join(parsed, key, value)
-        if whole is None:
+        joined = self._join(parsed, key, value)
+        if joined is None:
             return
         if parsed.kind == SPECIFICATION:
-            self._apply_specification(parsed, part, key, whole, now, wall_time)
+            self._apply_specification(parsed, part, key, joined, now, wall_time)
             return
         job = self.jobs.get(parsed.job)
         if job is None:
-            # Only pages of the newest records come in an order of their own.
-            self._early.setdefault(parsed.job, []).append(
-                (parsed, part, offset, key, whole)
+            # A record precedes its specification only when the newest record of
+            # each key is read in pages, which are not in the order of the log.
+            self._early_records.setdefault(parsed.job, []).append(
+                (parsed, part, offset, key, joined)
             )
             return
-        self._apply_to_job(job, parsed, offset, key, whole, now)
+        self._apply_to_job(job, parsed, offset, key, joined, now)
 
     def find_result(self, account: AccountId, item: JobItem) -> ItemResult | None:
-        """Finds the result that any job of an account has of the same item."""
-        known = self._finished.get((account, item.id))
+        """Returns an account's complete result of the same item in any job, or None."""
+        known = self._complete_results.get((account, item.id))
         return known[1] if known is not None and known[0] == item else None
 
     def find_progress(self, account: AccountId, item: JobItem) -> list[StreamEvent]:
-        """Finds the most that any job of an account has stored of an item's text."""
+        """Returns an account's longest stored progress of the same item in any job."""
         found: list[StreamEvent] = []
         for name in self._jobs_by_item.get((account, item.id), ()):
             job = self.jobs[name]
@@ -186,29 +198,36 @@
         return found
 
     def drop_partition(self, part: int) -> None:
-        """Forgets the jobs of a partition that is not followed any more."""
+        """Removes the jobs of a partition that this process no longer reads."""
         for job in [job for job in self.jobs.values() if job.part == part]:
             del self.jobs[job.id]
-            self._forget_items(job)
+            self._remove_items(job)
 
     def list_expired(self, now: float, lifetime: float) -> list[Job]:
-        """Lists the jobs that nobody may ask for any more."""
+        """Lists the jobs whose results need no longer be readable.
+
+        Args:
+            now: Monotonic time in seconds.
+            lifetime: Minimum lifetime of results in seconds.
+        """
         return [
             job
             for job in self.jobs.values()
-            if now - job.started_at > job.get_lifetime(lifetime) + EXPIRY_MARGIN
+            if now - job.started_at > job.get_lifetime(lifetime) + EXPIRY_MARGIN_SECONDS
         ]
 
     def _join(self, parsed: RecordKey, key: str, value: bytes) -> bytes | None:
         if parsed.chunk_count == 1:
             return value
         prefix = key.rpartition("/")[0]
-        parts = self._parts.setdefault(prefix, _Parts(parsed.chunk_count))
-        parts.pieces[parsed.chunk_index] = value
-        if len(parts.pieces) < parts.total:
+        value_chunks = self._incomplete_values.setdefault(
+            prefix, _ChunkedValue(parsed.chunk_count)
+        )
+        value_chunks.chunks[parsed.chunk_index] = value
+        if len(value_chunks.chunks) < value_chunks.count:
             return None
-        del self._parts[prefix]
-        return parts.join()
+        del self._incomplete_values[prefix]
+        return value_chunks.join()
 
     def _apply_specification(
         self,
@@ -228,11 +247,13 @@
         job.keys.add(key)
         self.jobs[parsed.job] = job
         for item in job.items:
-            owned = (specification.account, item)
-            self._jobs_by_item.setdefault(owned, set()).add(job.id)
-        early = self._early.pop(parsed.job, [])
-        for one, _, offset, early_key, whole in sorted(early, key=lambda one: one[2]):
-            self._apply_to_job(job, one, offset, early_key, whole, now)
+            account_item = (specification.account, item)
+            self._jobs_by_item.setdefault(account_item, set()).add(job.id)
+        early = self._early_records.pop(parsed.job, [])
+        for early_parsed, _, offset, early_key, joined in sorted(
+            early, key=lambda record: record[2]
+        ):
+            self._apply_to_job(job, early_parsed, offset, early_key, joined, now)
         self._notify(job)
 
     def _apply_to_job(
@@ -253,8 +274,8 @@
         elif parsed.kind == END:
             job.ended = True
         elif parsed.kind == PROGRESS and parsed.item in job.items:
-            pieces = job.progress.setdefault(parsed.item, {})
-            pieces[parsed.chunk_index] = decode_progress(value)
+            chunks = job.progress.setdefault(parsed.item, {})
+            chunks[parsed.chunk_index] = decode_progress(value)
             return
         elif parsed.kind == RESULT and parsed.item in job.items:
             if parsed.item in job.positions:
@@ -264,8 +285,8 @@
             job.results.append(result)
             job.progress.pop(parsed.item, None)
             if result.state is ResultState.COMPLETE:
-                owned = (job.specification.account, parsed.item)
-                self._finished[owned] = (job.items[parsed.item], result)
+                account_item = (job.specification.account, parsed.item)
+                self._complete_results[account_item] = (job.items[parsed.item], result)
         self._notify(job)
 
     def _drop(self, parsed: RecordKey, key: str) -> None:
@@ -277,19 +298,19 @@
             job.progress.get(parsed.item, {}).pop(parsed.chunk_index, None)
         if parsed.kind == SPECIFICATION:
             del self.jobs[parsed.job]
-            self._forget_items(job)
+            self._remove_items(job)
 
-    def _forget_items(self, job: Job) -> None:
+    def _remove_items(self, job: Job) -> None:
         for item in job.items:
-            owned = (job.specification.account, item)
-            jobs = self._jobs_by_item[owned]
+            account_item = (job.specification.account, item)
+            jobs = self._jobs_by_item[account_item]
             jobs.discard(job.id)
             if not jobs:
-                del self._jobs_by_item[owned]
-                self._finished.pop(owned, None)
+                del self._jobs_by_item[account_item]
+                self._complete_results.pop(account_item, None)
 
     def _notify(self, job: Job) -> None:
         change_callbacks, job.change_callbacks = job.change_callbacks, []
-        for wake in change_callbacks:
-            wake()
+        for callback in change_callbacks:
+            callback()
         self._on_change(job)
--- a/buckthornstile/jobs/tests/test_ownership_machine.py
+++ b/buckthornstile/jobs/tests/test_ownership_machine.py
@@ -1,7 +1,8 @@
-"""Owners of one job against a store that loses, delays and drops.
+"""Model-based test of job ownership on a store that loses and delays appends.
 
-Processes accept, claim, append results and die at any moment. Whoever reads the
-partition must list the same results at the same positions, each item once.
+Processes accept a job, claim it, append results and crash in any order, and the store
+drops old records. Every process that reads the partition must list the same results
+at the same positions, and each item once.
 """
 
 from hypothesis import settings
@@ -37,12 +38,12 @@
 
 
 class Process:
-    """One process: its fold and its next append."""
+    """One process with its job table and its unacknowledged append."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.table = JobTable()
-        self.read = 0
+        self.next_offset = 0
         self.newest_read = False
         self.appended = 0
         self.epoch = -1
@@ -55,22 +56,26 @@
 
 
 class OwnershipMachine(RuleBasedStateMachine):
-    """Processes over one partition."""
+    """Several processes share one partition."""
 
     @initialize()
     def start(self) -> None:
         self.partition = Partition(keyed=True)
         self.processes = {name: Process(name) for name in NAMES}
-        self.late: list[tuple[list[bytes], int, int]] = []
-        self.seen: dict[int, ItemResult] = {}
+        self.late_appends: list[tuple[list[bytes], int, int]] = []
+        self.results_by_position: dict[int, ItemResult] = {}
         self.acknowledged: set[ItemId] = set()
 
     def append(
         self, records: list[bytes], epoch: int, sequence: int, outcome: str
     ) -> bool | None:
-        """Appends; gives whether it was acknowledged, None if it was refused."""
+        """Appends records to the partition.
+
+        Returns:
+            Whether the append was acknowledged, or None if it was refused.
+        """
         if outcome == "late":
-            self.late.append((records, epoch, sequence))
+            self.late_appends.append((records, epoch, sequence))
             return False
         try:
             self.partition.append(records, producer=JOB, epoch=epoch, sequence=sequence)
@@ -93,25 +98,25 @@
         )
         records = encode_specification(specification, RECORD_BYTES)
         records.append(encode_claim(JOB, OwnerClaim(name, 1)))
-        encoded = [encode_keyed_record(one.key, one.value) for one in records]
+        encoded = [encode_keyed_record(record.key, record.value) for record in records]
         self.append(encoded, 1, 0, outcome)
 
     @rule(name=st.sampled_from(NAMES))
     def read(self, name: str) -> None:
         process = self.processes[name]
-        if process.read < self.partition.first:
+        if process.next_offset < self.partition.first:
             self._read_newest(process)
-        for offset in range(process.read, self.partition.end):
+        for offset in range(process.next_offset, self.partition.end):
             process.apply_records(
                 offset, self.partition.records[offset - self.partition.first][1]
             )
-        process.read = self.partition.end
+        process.next_offset = self.partition.end
 
     def _read_newest(self, process: Process) -> None:
-        newest = sorted(self.partition.newest.items(), key=lambda one: one[1][0])
+        newest = sorted(self.partition.newest.items(), key=lambda entry: entry[1][0])
         for key, (offset, value) in newest:
             process.apply_records(offset, bytes([len(key)]) + key + value)
-        process.read = self.partition.end
+        process.next_offset = self.partition.end
 
     @rule(name=st.sampled_from(NAMES), outcome=st.sampled_from(["ok", "lost", "late"]))
     def claim(self, name: str, outcome: str) -> None:
@@ -133,7 +138,7 @@
     def work(
         self, name: str, item: ItemId, outcome: str, reads: bool, claims: bool
     ) -> None:
-        """A turn of one process: it may read and take over, and lists a result."""
+        """Lets a process read and claim the job, if drawn, and append a result."""
         if reads:
             self.read(name)
         if claims:
@@ -154,7 +159,9 @@
             process.appended += 1
             result = ItemResult(item, ResultState.COMPLETE, f"{name}-{process.epoch}")
             records = encode_result(JOB, result, RECORD_BYTES)
-            encoded = [encode_keyed_record(one.key, one.value) for one in records]
+            encoded = [
+                encode_keyed_record(record.key, record.value) for record in records
+            ]
             process.pending = (encoded, process.epoch, process.appended)
         records_bytes, epoch, sequence = process.pending
         done = self.append(records_bytes, epoch, sequence, outcome)
@@ -165,25 +172,25 @@
             process.epoch = -1
 
     @rule()
-    def carry_out_late(self) -> None:
-        if self.late:
-            records, epoch, sequence = self.late.pop(0)
+    def append_late(self) -> None:
+        if self.late_appends:
+            records, epoch, sequence = self.late_appends.pop(0)
             self.append(records, epoch, sequence, "ok")
 
     @rule(name=st.sampled_from(NAMES))
-    def die(self, name: str) -> None:
-        # A new incarnation has a name of its own and owns nothing.
+    def crash(self, name: str) -> None:
+        # A new incarnation has a new name and owns no job.
         index = NAMES.index(name)
-        fresh = Process(f"{name}+")
-        fresh.name = f"{self.processes[name].name}+"
-        self.processes[NAMES[index]] = fresh
+        replacement = Process(f"{name}+")
+        replacement.name = f"{self.processes[name].name}+"
+        self.processes[NAMES[index]] = replacement
 
     @rule()
     def drop_history(self) -> None:
         self.partition.drop_history()
 
     @invariant()
-    def all_list_alike(self) -> None:
+    def all_processes_list_the_same_results(self) -> None:
         for process in getattr(self, "processes", {}).values():
             job = process.table.find(JOB)
             if job is None:
@@ -191,7 +198,7 @@
             items = [result.item for result in job.results]
             assert len(set(items)) == len(items)
             for position, result in enumerate(job.results):
-                assert self.seen.setdefault(position, result) == result
+                assert self.results_by_position.setdefault(position, result) == result
 
 
 def test_ownership_machine() -> None:
--- a/buckthornstile/jobs/tests/test_table.py
+++ b/buckthornstile/jobs/tests/test_table.py
@@ -1,4 +1,4 @@
-"""The fold of batch jobs: one order of results for all who read."""
+"""Tests of the job table: every reader lists the results in the same order."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -76,7 +76,7 @@
     return table
 
 
-def test_specification_survives_the_store() -> None:
+def test_encoded_specification_decodes_to_the_same() -> None:
     job = apply_records(make_log([])).find(JOB)
     assert job is not None
     assert job.specification == make_specification()
@@ -93,31 +93,34 @@
 @given(
     order=st.permutations([0, 1, 2, 3]),
     repeats=st.lists(st.integers(0, 3), max_size=4),
-    cut=st.integers(0, 8),
+    start=st.integers(0, 8),
 )
-def test_all_readers_list_the_same(order, repeats, cut) -> None:
+def test_all_readers_list_the_same_results(order, repeats, start) -> None:
     log = make_log(list(order) + repeats)
-    tail = apply_records(log).find(JOB)
-    assert tail is not None
-    assert [result.item for result in tail.results] == [f"i{one}" for one in order]
-    # One that begins with the newest record of each key and reads on. Results are
-    # stored once, so their newest records keep the order of the log.
+    expected = apply_records(log).find(JOB)
+    assert expected is not None
+    assert [result.item for result in expected.results] == [
+        f"i{number}" for number in order
+    ]
+    # The other reader starts with the newest record of each key and then reads the
+    # rest of the log. Each result is stored once, so the newest records of results
+    # are in the order of the log.
     stored = make_log(list(order))
-    cut = min(cut, len(stored))
+    start = min(start, len(stored))
     newest: dict[str, tuple[int, bytes]] = {}
-    for offset, record in enumerate(stored[:cut]):
+    for offset, record in enumerate(stored[:start]):
         newest[record.key] = (offset, record.value)
-    late = JobTable()
-    for key, (offset, value) in sorted(newest.items(), key=lambda one: one[1][0]):
-        late.apply(0, offset, key, value, 5.0, wall_time=1000.0)
-    for offset, record in enumerate(stored[cut:], cut):
-        late.apply(0, offset, record.key, record.value, 5.0, wall_time=1000.0)
-    job = late.find(JOB)
+    table = JobTable()
+    for key, (offset, value) in sorted(newest.items(), key=lambda entry: entry[1][0]):
+        table.apply(0, offset, key, value, 5.0, wall_time=1000.0)
+    for offset, record in enumerate(stored[start:], start):
+        table.apply(0, offset, record.key, record.value, 5.0, wall_time=1000.0)
+    job = table.find(JOB)
     assert job is not None
-    assert job.results == tail.results
+    assert job.results == expected.results
 
 
-def test_records_before_their_job_are_kept() -> None:
+def test_records_read_before_their_specification_are_applied() -> None:
     log = make_log([1, 0])
     table = JobTable()
     for offset, record in reversed(list(enumerate(log))):
@@ -128,7 +131,7 @@
     assert job.claim == OwnerClaim("e1", 1)
 
 
-def test_first_specification_holds_and_end_ends() -> None:
+def test_first_specification_is_kept_and_end_record_finishes_the_job() -> None:
     table = apply_records(make_log([0]))
     apply_records(make_log([]), table)
     job = table.find(JOB)
@@ -139,14 +142,14 @@
     assert job.is_finished()
 
 
-def test_result_of_an_unknown_item_is_left_out() -> None:
+def test_result_of_an_unknown_item_is_ignored() -> None:
     log = make_log([]) + encode_result(JOB, make_result(77), RECORD_BYTES)
     job = apply_records(log).find(JOB)
     assert job is not None
     assert job.results == []
 
 
-def test_dropped_job_is_forgotten_and_expires_by_age() -> None:
+def test_job_expires_by_age_and_is_removed_with_its_records() -> None:
     table = apply_records(make_log([0]))
     job = table.find(JOB)
     assert job is not None
--- a/buckthornstile/queueing/__init__.py
+++ b/buckthornstile/queueing/__init__.py
@@ -1,4 +1,4 @@
-"""The agent's weighted fair queue of requests for its upstream."""
+"""Weighted fair queue of the requests that wait for an upstream."""
 
 from buckthornstile.queueing._fair_queue import FairQueue, QueueCounters
 from buckthornstile.queueing._items import PushResult, QueueItem
--- a/buckthornstile/queueing/_account_queue.py
+++ b/buckthornstile/queueing/_account_queue.py
@@ -1,4 +1,4 @@
-"""The items of one client account within one class."""
+"""Queue of the items of one client account within one request class."""
 
 from heapq import heappop, heappush
 
@@ -9,15 +9,15 @@
 
 
 class AccountQueue:
-    """One account's items in service order, with its start tag.
+    """The items of one account in service order, and the account's start tag.
 
     Args:
-        request_class: The class that the lane belongs to.
+        request_class: The request class of the items.
 
     Example:
-        >>> lane = AccountQueue(RequestClass.INTERACTIVE)
-        >>> lane.add(QueueItem("e1/0", "a", RequestClass.INTERACTIVE), 0, 0.0)
-        >>> lane.peek().request_id
+        >>> queue = AccountQueue(RequestClass.INTERACTIVE)
+        >>> queue.add(QueueItem("e1/0", "a", RequestClass.INTERACTIVE), 0, 0.0)
+        >>> queue.peek().request_id
         'e1/0'
     """
 
@@ -34,13 +34,13 @@
 
         Args:
             item: The item.
-            sequence: The push's number, which orders equal items.
-            now: The clock reading, in seconds.
+            sequence: Number of the push; it orders items that are otherwise equal.
+            now: Monotonic time in seconds.
         """
         key: _Key = (0.0, 0.0, sequence)
         if self.request_class is RequestClass.TRAINER:
-            # The lot with the least slack first; within a lot the longest
-            # sample first, since it is the one that would end last.
+            # The lot with the least slack is served first. Within a lot, the longest
+            # sample is served first because it would otherwise finish last.
             key = (now + item.slack, -item.cost, sequence)
         self.items[item.request_id] = (key, item)
         self.weight = item.weight
@@ -48,19 +48,19 @@
         heappush(self._heap, (key, item.request_id))
 
     def peek(self) -> QueueItem:
-        """Gives the item that is served next; the lane must not be empty."""
+        """Returns the item that is served next; the queue must not be empty."""
         while self._heap[0][1] not in self.items:
             heappop(self._heap)
         return self.items[self._heap[0][1]][1]
 
     def remove(self, request_id: RequestId) -> QueueItem:
-        """Removes an item and gives it back."""
+        """Removes and returns an item."""
         _, item = self.items.pop(request_id)
         self.cost = self.cost - item.cost if self.items else 0.0
         if not self.items:
             self._heap.clear()
         return item
 
-    def find_last(self) -> QueueItem:
-        """Gives the item that would be served last; the lane is not empty."""
+    def peek_last(self) -> QueueItem:
+        """Returns the item that is served last; the queue must not be empty."""
         return max(self.items.values(), key=lambda entry: entry[0])[1]
--- a/buckthornstile/queueing/_fair_queue.py
+++ b/buckthornstile/queueing/_fair_queue.py
@@ -1,4 +1,4 @@
-"""Start-time fair queueing by client account, within classes with a floor."""
+"""Start-time fair queueing by client account, in classes with a minimum share."""
 
 from collections import OrderedDict
 from collections.abc import Iterable, Mapping
@@ -10,12 +10,13 @@
 from buckthornstile.queueing._items import PushResult, QueueItem
 
 _CLASSES = tuple(RequestClass)
-_MAX_UNCHARGED = 65_536
+_MAX_UNCHARGED_ITEMS = 65_536
+"""Number of popped items whose cost can still be corrected; bounds the memory."""
 
 
 @dataclass(slots=True)
 class QueueCounters:
-    """Counts of what the queue did since it was made.
+    """Numbers of items by outcome since the queue was created.
 
     Example:
         >>> QueueCounters().pushed
@@ -31,19 +32,21 @@
 
 
 class _AccountTags:
-    """Start tags of accounts over all classes, to tell who is over its share."""
+    """Start tags of accounts across all classes, which show who exceeds its share."""
 
-    def __init__(self, burst: float, credit: float) -> None:
-        self.burst = burst
-        self.credit = credit
+    def __init__(self, burst_tokens: float, max_catch_up_tokens: float) -> None:
+        self.burst_tokens = burst_tokens
+        self.max_catch_up_tokens = max_catch_up_tokens
         self.virtual_time = 0.0
         self._tags: dict[AccountId, float] = {}
         self._heap: list[tuple[float, AccountId]] = []
 
     def activate(self, account: AccountId) -> None:
-        # An account that had less than its share before, as a trainer between
-        # two lots, may catch up on a bounded part of it.
-        tag = max(self._tags.get(account, 0.0), self.virtual_time - self.credit)
+        # An account that received less than its share before, such as a trainer
+        # between two lots, may catch up on a bounded amount of work.
+        tag = max(
+            self._tags.get(account, 0.0), self.virtual_time - self.max_catch_up_tokens
+        )
         self._tags[account] = tag
         heappush(self._heap, (tag, account))
 
@@ -53,101 +56,118 @@
             heappush(self._heap, (self._tags[account], account))
 
     def advance(self, waiting: Mapping[AccountId, int]) -> None:
-        """Moves virtual time to the least tag of an account that waits."""
+        """Advances virtual time to the lowest tag of the accounts with queued items."""
         while self._heap:
             tag, account = self._heap[0]
             if account in waiting and self._tags.get(account) == tag:
                 self.virtual_time = max(self.virtual_time, tag)
                 return
             heappop(self._heap)
-            if account not in waiting and tag <= self.virtual_time - self.credit:
+            if (
+                account not in waiting
+                and tag <= self.virtual_time - self.max_catch_up_tokens
+            ):
                 self._tags.pop(account, None)
 
-    def get_release(self, account: AccountId) -> float:
-        """Gives the virtual time from which the account is within its share."""
-        return self._tags.get(account, 0.0) - self.burst
+    def get_release_time(self, account: AccountId) -> float:
+        """Returns the virtual time from which the account is within its share."""
+        return self._tags.get(account, 0.0) - self.burst_tokens
 
 
 class _ClassQueue:
-    """The lanes of one class, served by least start tag."""
+    """The account queues of one class, served in the order of their start tags."""
 
     def __init__(self, request_class: RequestClass, tags: _AccountTags) -> None:
         self.request_class = request_class
         self.tags = tags
         self.virtual_time = 0.0
         self.credit = 0.0
-        self.lanes: dict[AccountId, AccountQueue] = {}
+        self.account_queues: dict[AccountId, AccountQueue] = {}
         self._heap: list[tuple[float, int, AccountId]] = []
-        self._parked: list[tuple[float, int, AccountId]] = []
+        self._deferred: list[tuple[float, int, AccountId]] = []
+
+    def activate(
+        self, account_queue: AccountQueue, account: AccountId, sequence: int
+    ) -> None:
+        heappush(self._heap, (account_queue.start_tag, sequence, account))
 
-    def activate(self, lane: AccountQueue, account: AccountId, sequence: int) -> None:
-        heappush(self._heap, (lane.start_tag, sequence, account))
+    def find_next_account_queue(self) -> AccountQueue | None:
+        """Returns the account queue to serve next, or None.
 
-    def find_lane(self) -> AccountQueue | None:
-        """Gives the lane that is served next; accounts over their share wait."""
-        self._release_parked()
+        Accounts that exceed their share are deferred.
+        """
+        self._release_deferred()
         while self._heap:
             tag, sequence, account = self._heap[0]
-            lane = self.lanes.get(account)
-            if lane is not None and lane.items and lane.start_tag == tag:
-                release = self._get_release(account)
-                if release <= self.tags.virtual_time:
-                    return lane
-                heappush(self._parked, (release, sequence, account))
+            account_queue = self.account_queues.get(account)
+            if (
+                account_queue is not None
+                and account_queue.items
+                and account_queue.start_tag == tag
+            ):
+                release_time = self._get_release_time(account)
+                if release_time <= self.tags.virtual_time:
+                    return account_queue
+                heappush(self._deferred, (release_time, sequence, account))
             heappop(self._heap)
-        if not self._parked:
+        if not self._deferred:
             self.credit = 0.0
         return None
 
-    def _get_release(self, account: AccountId) -> float:
-        # Trainers keep their precedence over work that nobody waits on, even
-        # beyond their share: their lots bound what they can ask for.
+    def _get_release_time(self, account: AccountId) -> float:
+        # Trainers keep their precedence over background work even if they exceed
+        # their share, because their lots limit how much they can request.
         if self.request_class is not RequestClass.INTERACTIVE:
             return self.tags.virtual_time
-        return self.tags.get_release(account)
-
-    def _release_parked(self) -> None:
-        while self._parked and self._parked[0][0] <= self.tags.virtual_time:
-            _, sequence, account = heappop(self._parked)
-            lane = self.lanes.get(account)
-            if lane is not None and lane.items:
-                # It must not make up at once for what it missed as a penalty.
-                lane.start_tag = max(lane.start_tag, self.virtual_time)
-                self.activate(lane, account, sequence)
+        return self.tags.get_release_time(account)
+
+    def _release_deferred(self) -> None:
+        while self._deferred and self._deferred[0][0] <= self.tags.virtual_time:
+            _, sequence, account = heappop(self._deferred)
+            account_queue = self.account_queues.get(account)
+            if account_queue is not None and account_queue.items:
+                # It must not catch up at once on work that was deferred as a penalty.
+                account_queue.start_tag = max(
+                    account_queue.start_tag, self.virtual_time
+                )
+                self.activate(account_queue, account, sequence)
 
     def discard_idle(self) -> None:
-        """Forgets idle accounts that owe nothing for work already done."""
+        """Removes idle accounts that were not served ahead of their share."""
         for account in [
             account
-            for account, lane in self.lanes.items()
-            if not lane.items and lane.start_tag <= self.virtual_time
+            for account, account_queue in self.account_queues.items()
+            if not account_queue.items and account_queue.start_tag <= self.virtual_time
         ]:
-            del self.lanes[account]
+            del self.account_queues[account]
 
 
 class FairQueue:
-    """A bounded queue that is fair by client account in tokens of work.
+    """A bounded queue that shares the served tokens fairly among client accounts.
 
-    Classes are served in the order of :class:`RequestClass`. A lower class
-    that has items earns ``floor`` tokens for each token of work served above
-    it, and is served as soon as it has earned its next item. Within a class,
-    start-time fair queueing keeps two accounts that both have items within one
-    largest item each of their weighted shares.
+    Classes are served in the order of :class:`RequestClass`. A lower class that has
+    items earns ``min_class_share`` tokens for each token of work served in a higher
+    class, and is served as soon as it has earned the cost of its next item. Within a
+    class, start-time fair queueing keeps any two accounts that both have items within
+    one largest item each of their weighted shares.
 
-    An account's waited-on calls have their precedence only while it is within
-    its share of all work: while it is more than ``burst`` tokens (by weight 1)
-    ahead of the waiting account that has had least, these calls wait, so that a
-    flood of them does not starve other accounts' lower classes.
+    Interactive requests of an account take precedence only while the account is within
+    its share of all work. They are deferred while the account is more than
+    ``burst_tokens`` (at weight 1) ahead of the waiting account that has received the
+    least work. A flood of interactive requests therefore does not starve the lower
+    classes of other accounts.
 
-    Each call takes O(log n), but
-    for a push into a full queue, which is linear in the accounts that wait.
+    Each operation takes O(log n), except a push into a full queue, which is linear in
+    the number of waiting accounts.
 
     Args:
-        maximum_items: Items that may wait in all.
-        maximum_items_per_account: Items that may wait for one account.
-        floor: The least share of work of each lower class, from 0 to 1.
-        burst: Work by which waited-on calls may be ahead, in tokens.
-        credit: Work on which an account that had less may catch up, in tokens.
+        max_items: Maximum number of queued items.
+        max_items_per_account: Maximum number of queued items of one account.
+        min_class_share: Minimum share of work of each lower class, from 0 to 1.
+        burst_tokens: Work in tokens by which an account's interactive requests may
+            exceed its share.
+        max_catch_up_tokens: Maximum work in tokens on which an account that received
+            less than its share may catch up.
 
     Example:
         >>> queue = FairQueue()
@@ -161,19 +181,19 @@
     def __init__(
         self,
         *,
-        maximum_items: int = 2048,
-        maximum_items_per_account: int = 1024,
-        floor: float = 0.05,
-        burst: float = 300.0,
-        credit: float = 4000.0,
+        max_items: int = 2048,
+        max_items_per_account: int = 1024,
+        min_class_share: float = 0.05,
+        burst_tokens: float = 300.0,
+        max_catch_up_tokens: float = 4000.0,
     ) -> None:
-        self.maximum_items = maximum_items
-        self.maximum_items_per_account = maximum_items_per_account
-        self.floor = floor
-        self.burst = burst
+        self.max_items = max_items
+        self.max_items_per_account = max_items_per_account
+        self.min_class_share = min_class_share
+        self.burst_tokens = burst_tokens
         self.counters = QueueCounters()
-        self.credit = credit
-        self._tags = _AccountTags(burst, credit)
+        self.max_catch_up_tokens = max_catch_up_tokens
+        self._tags = _AccountTags(burst_tokens, max_catch_up_tokens)
         self._classes = {name: _ClassQueue(name, self._tags) for name in _CLASSES}
         self._items: dict[RequestId, QueueItem] = {}
         self._account_items: dict[AccountId, int] = {}
@@ -190,50 +210,57 @@
 
     @property
     def queued_cost(self) -> float:
-        """The work that waits, in tokens."""
+        """Total cost of the queued items in tokens."""
         return sum(
-            lane.cost
+            account_queue.cost
             for queue in self._classes.values()
-            for lane in queue.lanes.values()
+            for account_queue in queue.account_queues.values()
         )
 
     def compute_work_ahead(self, request_class: RequestClass) -> tuple[int, float]:
-        """Computes what waits in a class and those served before it.
+        """Computes the work that is queued in a class and in the classes above it.
 
         Args:
             request_class: The class.
 
         Returns:
-            The number of items, and their work in tokens.
+            The number of items, and their cost in tokens.
         """
-        names = _CLASSES[: _CLASSES.index(request_class) + 1]
-        lanes = [lane for name in names for lane in self._classes[name].lanes.values()]
-        return sum(len(lane.items) for lane in lanes), sum(lane.cost for lane in lanes)
+        class_names = _CLASSES[: _CLASSES.index(request_class) + 1]
+        account_queues = [
+            account_queue
+            for name in class_names
+            for account_queue in self._classes[name].account_queues.values()
+        ]
+        return sum(len(account_queue.items) for account_queue in account_queues), sum(
+            account_queue.cost for account_queue in account_queues
+        )
 
     def push(self, item: QueueItem, now: float) -> PushResult:
-        """Queues an item, or refuses it.
+        """Queues or refuses an item.
 
-        A full queue sheds the last item of the account that has most work
-        waiting for its weight; if that is the caller's own, it is refused.
+        A full queue evicts the last item of the account with the most queued work
+        relative to its weight. If that is the account of the new item, the new item
+        is refused.
 
         Args:
             item: The item; its id must not be in the queue.
-            now: The clock reading, in seconds.
+            now: Monotonic time in seconds.
 
         Returns:
-            Whether it was accepted, and which items were shed for it.
+            Whether the item was accepted, and the items that were evicted for it.
 
         Raises:
-            ValueError: The id waits already.
+            ValueError: An item with this id is in the queue already.
         """
         if item.request_id in self._items:
             raise ValueError(f"request {item.request_id} is in the queue already")
         self._expire(now)
         waiting = self._account_items.get(item.account, 0)
-        if waiting >= self.maximum_items_per_account:
+        if waiting >= self.max_items_per_account:
             return self._refuse()
         shed: tuple[QueueItem, ...] = ()
-        if len(self._items) >= self.maximum_items:
+        if len(self._items) >= self.max_items:
             victim = self._choose_victim(item)
             if victim is None:
                 return self._refuse()
@@ -244,45 +271,45 @@
         return PushResult(accepted=True, shed=shed)
 
     def pop(self, now: float) -> QueueItem | None:
-        """Takes the item to be served next.
+        """Removes and returns the item to serve next.
 
-        Items past their deadline are dropped; see :meth:`pop_expired`.
+        Items past their deadline are removed; see :meth:`pop_expired`.
 
         Args:
-            now: The clock reading, in seconds.
+            now: Monotonic time in seconds.
 
         Returns:
-            The item, or None if none waits.
+            The item, or None if the queue is empty.
         """
         self._expire(now)
         self._tags.advance(self._account_items)
         chosen = self._choose_class()
         if chosen is None:
             return None
-        queue, lane = chosen
-        item = lane.peek()
-        queue.virtual_time = max(queue.virtual_time, lane.start_tag)
-        lane.start_tag += item.cost / item.weight
+        queue, account_queue = chosen
+        item = account_queue.peek()
+        queue.virtual_time = max(queue.virtual_time, account_queue.start_tag)
+        account_queue.start_tag += item.cost / item.weight
         self._tags.add(item.account, item.cost / item.weight)
         self._take(item.request_id)
-        if lane.items:
+        if account_queue.items:
             self._sequence += 1
-            queue.activate(lane, item.account, self._sequence)
+            queue.activate(account_queue, item.account, self._sequence)
         self._earn_credit(queue, item.cost)
         self._uncharged[item.request_id] = item
-        while len(self._uncharged) > _MAX_UNCHARGED:
+        while len(self._uncharged) > _MAX_UNCHARGED_ITEMS:
             self._uncharged.popitem(last=False)
         self.counters.popped += 1
         return item
 
     def remove(self, request_id: RequestId) -> QueueItem | None:
-        """Removes an item that waits.
+        """Removes a queued item.
 
         Args:
-            request_id: The request.
+            request_id: Id of the request.
 
         Returns:
-            The item, or None if it does not wait here.
+            The item, or None if it is not in the queue.
         """
         if request_id not in self._items:
             return None
@@ -290,27 +317,27 @@
         return self._take(request_id)
 
     def charge(self, request_id: RequestId, cost: float) -> None:
-        """Corrects an account's share once the true work of an item is known.
+        """Corrects an account's share once the actual cost of an item is known.
 
         Args:
-            request_id: A request that was popped; others are ignored.
-            cost: The true work, in tokens.
+            request_id: Id of a popped request; other ids are ignored.
+            cost: The actual cost in tokens.
         """
         item = self._uncharged.pop(request_id, None)
         if item is None:
             return
         queue = self._classes[item.request_class]
         self._tags.add(item.account, (cost - item.cost) / item.weight)
-        lane = queue.lanes.get(item.account)
-        if lane is None:
+        account_queue = queue.account_queues.get(item.account)
+        if account_queue is None:
             return
-        lane.start_tag += (cost - item.cost) / item.weight
-        if lane.items:
+        account_queue.start_tag += (cost - item.cost) / item.weight
+        if account_queue.items:
             self._sequence += 1
-            queue.activate(lane, item.account, self._sequence)
+            queue.activate(account_queue, item.account, self._sequence)
 
     def pop_expired(self) -> tuple[QueueItem, ...]:
-        """Gives the items dropped at their deadline since the last call."""
+        """Returns the items removed at their deadline since the last call."""
         expired = tuple(self._expired)
         self._expired.clear()
         return expired
@@ -326,23 +353,28 @@
         """Estimates how long a new item would wait.
 
         Args:
-            account: The item's account.
-            request_class: The item's class.
-            tokens_per_second: The upstream's speed.
-            weight: The account's weight.
+            account: The account of the item.
+            request_class: The class of the item.
+            tokens_per_second: Throughput of the upstream.
+            weight: The weight of the account.
 
         Returns:
-            The wait in seconds, as if nothing else came.
+            The wait in seconds if no other items arrive.
         """
         ahead = 0.0
-        own = self._classes[request_class].lanes.get(account)
+        own = self._classes[request_class].account_queues.get(account)
         share = (own.cost if own else 0.0) / weight
         for name in _CLASSES:
-            lanes: Iterable[AccountQueue] = self._classes[name].lanes.values()
+            account_queues: Iterable[AccountQueue] = self._classes[
+                name
+            ].account_queues.values()
             if name is request_class:
-                ahead += sum(min(lane.cost, share * lane.weight) for lane in lanes)
+                ahead += sum(
+                    min(account_queue.cost, share * account_queue.weight)
+                    for account_queue in account_queues
+                )
                 break
-            ahead += sum(lane.cost for lane in lanes)
+            ahead += sum(account_queue.cost for account_queue in account_queues)
         return ahead / max(tokens_per_second, 1.0)
 
     def _refuse(self) -> PushResult:
@@ -352,14 +384,16 @@
     def _add(self, item: QueueItem, now: float) -> None:
         self._sequence += 1
         queue = self._classes[item.request_class]
-        lane = queue.lanes.get(item.account)
-        if lane is None:
+        account_queue = queue.account_queues.get(item.account)
+        if account_queue is None:
             queue.discard_idle()
-            lane = queue.lanes[item.account] = AccountQueue(item.request_class)
-        if not lane.items:
-            lane.start_tag = max(lane.start_tag, queue.virtual_time)
-            queue.activate(lane, item.account, self._sequence)
-        lane.add(item, self._sequence, now)
+            account_queue = queue.account_queues[item.account] = AccountQueue(
+                item.request_class
+            )
+        if not account_queue.items:
+            account_queue.start_tag = max(account_queue.start_tag, queue.virtual_time)
+            queue.activate(account_queue, item.account, self._sequence)
+        account_queue.add(item, self._sequence, now)
         self._items[item.request_id] = item
         if item.account not in self._account_items:
             self._tags.activate(item.account)
@@ -369,10 +403,12 @@
 
     def _take(self, request_id: RequestId) -> QueueItem:
         item = self._items.pop(request_id)
-        self._classes[item.request_class].lanes[item.account].remove(request_id)
-        left = self._account_items[item.account] - 1
-        if left:
-            self._account_items[item.account] = left
+        self._classes[item.request_class].account_queues[item.account].remove(
+            request_id
+        )
+        remaining = self._account_items[item.account] - 1
+        if remaining:
+            self._account_items[item.account] = remaining
         else:
             del self._account_items[item.account]
         return item
@@ -392,33 +428,35 @@
         chosen: tuple[_ClassQueue, AccountQueue] | None = None
         for name in reversed(_CLASSES):
             queue = self._classes[name]
-            lane = queue.find_lane()
-            if lane is None:
+            account_queue = queue.find_next_account_queue()
+            if account_queue is None:
                 continue
-            if queue.credit > 0.0 and queue.credit >= lane.peek().cost:
-                return queue, lane
-            chosen = queue, lane
+            if queue.credit > 0.0 and queue.credit >= account_queue.peek().cost:
+                return queue, account_queue
+            chosen = queue, account_queue
         return chosen
 
     def _earn_credit(self, served: _ClassQueue, cost: float) -> None:
         served.credit = max(0.0, served.credit - cost)
-        below = False
+        is_lower_class = False
         for name in _CLASSES:
             queue = self._classes[name]
-            if below and queue.find_lane() is not None:
-                queue.credit += self.floor * cost
-            below = below or queue is served
+            if is_lower_class and queue.find_next_account_queue() is not None:
+                queue.credit += self.min_class_share * cost
+            is_lower_class = is_lower_class or queue is served
 
     def _choose_victim(self, item: QueueItem) -> QueueItem | None:
         work: dict[AccountId, float] = {item.account: item.cost / item.weight}
         for queue in self._classes.values():
-            for account, lane in queue.lanes.items():
-                work[account] = work.get(account, 0.0) + lane.cost / lane.weight
+            for account, account_queue in queue.account_queues.items():
+                work[account] = (
+                    work.get(account, 0.0) + account_queue.cost / account_queue.weight
+                )
         account = max(work, key=lambda name: work[name])
         if account == item.account:
             return None
         for name in reversed(_CLASSES):
-            lane_of_class = self._classes[name].lanes.get(account)
-            if lane_of_class is not None and lane_of_class.items:
-                return lane_of_class.find_last()
+            last_queue = self._classes[name].account_queues.get(account)
+            if last_queue is not None and last_queue.items:
+                return last_queue.peek_last()
         return None
--- a/buckthornstile/queueing/_items.py
+++ b/buckthornstile/queueing/_items.py
@@ -1,4 +1,4 @@
-"""Values that go into and come out of the fair queue."""
+"""Item and result types of the fair queue."""
 
 from dataclasses import dataclass
 from math import inf
@@ -8,16 +8,16 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueItem:
-    """One request that waits for its upstream.
+    """A request that waits for an upstream.
 
     Args:
-        request_id: The request.
-        account: The client account that it is queued under.
-        request_class: Who waits on it.
-        weight: The account's share, relative to other accounts.
-        cost: The expected work, in tokens.
-        slack: For a lot's sample, seconds that the lot can spare.
-        deadline: The clock reading after which nobody wants the answer.
+        request_id: Id of the request.
+        account: The client account of the request.
+        request_class: The request class, which sets the order of service.
+        weight: The account's weight relative to other accounts.
+        cost: The expected work in tokens.
+        slack: For a sample of a lot, seconds for which the lot can be delayed.
+        deadline: Monotonic time in seconds after which the response is not needed.
 
     Example:
         >>> QueueItem("e1/0", "mill-7", RequestClass.INTERACTIVE).cost
@@ -35,13 +35,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PushResult:
-    """What became of a push.
+    """The outcome of a push.
 
     Args:
-        accepted: Whether the item is queued.
-        code: Why it was refused, or None.
-        shed: Items that were put out of a full queue to make room; they have
-            not run.
+        accepted: Whether the item was queued.
+        code: The error code if the item was refused, or None.
+        shed: Items that were evicted from a full queue to make room; they were not
+            served.
 
     Example:
         >>> PushResult(True).shed
--- a/buckthornstile/queueing/tests/fairness.feature
+++ b/buckthornstile/queueing/tests/fairness.feature
@@ -1,43 +1,43 @@
-Feature: How the worst-served client account fares
-  A shared upstream serves accounts by weight, in tokens of work, whatever one
-  of them sends.
+Feature: Fair shares of a shared upstream
+  An upstream serves client accounts in proportion to their weights, measured in
+  tokens of work, however many requests one of them sends.
 
-  Scenario Outline: A large account floods at ten times its share
-    Given a <queue> queue before one upstream
-    And 8 client accounts, of which one floods at 10 times its share
-    When the upstream works for 120 seconds
-    Then the worst-served account gets at least 0.9 of its fair share: <fair>
+  Scenario Outline: One account sends ten times its share
+    Given an upstream with a queue of type <queue>
+    And 8 client accounts, one of which sends 10 times its share
+    When the upstream serves requests for 120 seconds
+    Then every account gets at least 0.9 of its fair share: <fair>
 
     Examples:
       | queue | fair |
       | fair  | yes  |
       | FIFO  | no   |
 
-  Scenario Outline: Corrections keep priority over stock checks that nobody waits on
-    Given a <queue> queue before one upstream
-    And trainer corrections that fill the upstream, and stock checks
-    When the upstream works for 120 seconds
+  Scenario Outline: Trainer requests take precedence over background requests
+    Given an upstream with a queue of type <queue>
+    And trainer corrections and stock checks that each exceed the upstream's capacity
+    When the upstream serves requests for 120 seconds
     Then the corrections get at least 0.9 of the work: <first>
-    And the stock checks get at least 0.04 of the work: <floor>
+    And the stock checks get at least 0.04 of the work: <minimum>
 
     Examples:
-      | queue       | first | floor |
-      | fair        | yes   | yes   |
-      | FIFO        | no    | yes   |
-      | no floor    | yes   | no    |
+      | queue            | first | minimum |
+      | fair             | yes   | yes     |
+      | FIFO             | no    | yes     |
+      | no minimum share | yes   | no      |
 
-  Scenario Outline: A flood of waited-on calls leaves other accounts their share
-    Given a <queue> queue before one upstream
-    And trainer corrections of half the upstream, and a flood of waited-on calls
-    When the upstream works for 240 seconds
-    Then the worst-served account gets at least 0.9 of its fair share: <fair>
+  Scenario Outline: A flood of interactive requests leaves other accounts their share
+    Given an upstream with a queue of type <queue>
+    And trainer corrections at half the upstream's capacity, and a flood of interactive requests
+    When the upstream serves requests for 240 seconds
+    Then every account gets at least 0.9 of its fair share: <fair>
 
     Examples:
       | queue         | fair |
       | fair          | yes  |
       | class-ordered | no   |
 
-  Scenario: The lot with the least slack goes first
-    Given a fair queue before one upstream
+  Scenario: The lot with the least slack is served first
+    Given an upstream with a queue of type fair
     When samples of lots with 9, 1 and 4 seconds of slack arrive
     Then they are served in the order 1, 4, 9
--- a/buckthornstile/queueing/tests/test_fairness.py
+++ b/buckthornstile/queueing/tests/test_fairness.py
@@ -1,4 +1,4 @@
-"""The worst-served account, on a virtual clock, with the fair queue and without."""
+"""Shares of accounts and classes on a virtual clock, with the fair queue and others."""
 
 from collections import defaultdict, deque
 from math import inf
@@ -10,11 +10,11 @@
 from buckthornstile.queueing import FairQueue, PushResult, QueueItem
 
 scenarios("fairness.feature")
-SPEED = 100.0
+TOKENS_PER_SECOND = 100.0
 
 
-class Fifo:
-    """The naive queue: first come, first served, until it is full."""
+class FIFOQueue:
+    """A first-in, first-out queue that refuses items when it is full."""
 
     def __init__(self):
         self.items = deque()
@@ -30,102 +30,106 @@
 
 
 @pytest.fixture
-def world():
+def scenario():
     return {"sources": []}
 
 
 @given(
     parsers.re(
-        r"an? (?P<queue>fair|FIFO|no floor|class-ordered) queue before one upstream"
+        r"an upstream with a queue of type "
+        r"(?P<queue>fair|FIFO|no minimum share|class-ordered)"
     )
 )
-def make_queue(world, queue):
-    limits = {"maximum_items": 200, "maximum_items_per_account": 100}
-    limits["burst"] = 4.0 * SPEED
-    world["queue"] = {
+def make_queue(scenario, queue):
+    limits = {"max_items": 200, "max_items_per_account": 100}
+    limits["burst_tokens"] = 4.0 * TOKENS_PER_SECOND
+    scenario["queue"] = {
         "fair": lambda: FairQueue(**limits),
-        "FIFO": Fifo,
-        "no floor": lambda: FairQueue(**limits, floor=0.0),
-        "class-ordered": lambda: FairQueue(**{**limits, "burst": inf}),
+        "FIFO": FIFOQueue,
+        "no minimum share": lambda: FairQueue(**limits, min_class_share=0.0),
+        "class-ordered": lambda: FairQueue(**{**limits, "burst_tokens": inf}),
     }[queue]()
 
 
 @given(
-    parsers.parse(
-        "{count:d} client accounts, of which one floods at 10 times its share"
-    )
+    parsers.parse("{count:d} client accounts, one of which sends 10 times its share")
 )
-def add_flood(world, count):
-    share = SPEED / count
+def add_flood(scenario, count):
+    share = TOKENS_PER_SECOND / count
     for number in range(count):
         rate = share * (10.0 if number == 0 else 0.95)
-        world["sources"].append((f"a{number}", RequestClass.INTERACTIVE, rate))
+        scenario["sources"].append((f"a{number}", RequestClass.INTERACTIVE, rate))
 
 
-@given("trainer corrections that fill the upstream, and stock checks")
-def add_classes(world):
-    world["sources"] = [
-        ("corrections", RequestClass.TRAINER, 1.5 * SPEED),
-        ("stock", RequestClass.BACKGROUND, 1.5 * SPEED),
+@given("trainer corrections and stock checks that each exceed the upstream's capacity")
+def add_classes(scenario):
+    scenario["sources"] = [
+        ("corrections", RequestClass.TRAINER, 1.5 * TOKENS_PER_SECOND),
+        ("stock", RequestClass.BACKGROUND, 1.5 * TOKENS_PER_SECOND),
     ]
 
 
-@given("trainer corrections of half the upstream, and a flood of waited-on calls")
-def add_waited_flood(world):
-    world["sources"] = [
-        ("corrections", RequestClass.TRAINER, 0.5 * SPEED),
-        ("large", RequestClass.INTERACTIVE, 5.0 * SPEED),
+@given(
+    "trainer corrections at half the upstream's capacity, "
+    "and a flood of interactive requests"
+)
+def add_interactive_flood(scenario):
+    scenario["sources"] = [
+        ("corrections", RequestClass.TRAINER, 0.5 * TOKENS_PER_SECOND),
+        ("large", RequestClass.INTERACTIVE, 5.0 * TOKENS_PER_SECOND),
     ]
 
 
-@when(parsers.parse("the upstream works for {seconds:d} seconds"))
-def run(world, seconds):
+@when(parsers.parse("the upstream serves requests for {seconds:d} seconds"))
+def run(scenario, seconds):
     served, wanted = defaultdict(float), defaultdict(float)
     owed, busy_until, number = defaultdict(float), 0.0, 0
     for tick in range(seconds * 100):
         now = tick / 100.0
-        for account, request_class, rate in world["sources"]:
+        for account, request_class, rate in scenario["sources"]:
             owed[account] += rate / 100.0
             while owed[account] >= 10.0:
                 owed[account] -= 10.0
                 wanted[account] += 10.0
                 number += 1
                 item = QueueItem(f"e/{number}", account, request_class, cost=10.0)
-                world["queue"].push(item, now)
-        while busy_until <= now and (item := world["queue"].pop(now)):
-            busy_until = max(busy_until, now) + item.cost / SPEED
+                scenario["queue"].push(item, now)
+        while busy_until <= now and (item := scenario["queue"].pop(now)):
+            busy_until = max(busy_until, now) + item.cost / TOKENS_PER_SECOND
             served[item.account] += item.cost
-    world["served"], world["wanted"], world["seconds"] = served, wanted, seconds
+    scenario["served"], scenario["wanted"], scenario["seconds"] = (
+        served,
+        wanted,
+        seconds,
+    )
 
 
 @then(
-    parsers.parse(
-        "the worst-served account gets at least {share:g} of its fair share: {expected}"
-    )
+    parsers.parse("every account gets at least {share:g} of its fair share: {expected}")
 )
-def check_share(world, share, expected):
-    fair = SPEED * world["seconds"] / len(world["wanted"])
+def check_share(scenario, share, expected):
+    fair = TOKENS_PER_SECOND * scenario["seconds"] / len(scenario["wanted"])
     worst = min(
-        world["served"][account] / min(fair, wanted)
-        for account, wanted in world["wanted"].items()
+        scenario["served"][account] / min(fair, wanted)
+        for account, wanted in scenario["wanted"].items()
     )
     assert (worst >= share) == (expected == "yes"), worst
 
 
 @then(parsers.parse("the {name} get at least {share:g} of the work: {expected}"))
-def check_class_share(world, name, share, expected):
+def check_class_share(scenario, name, share, expected):
     account = {"corrections": "corrections", "stock checks": "stock"}[name]
-    got = world["served"][account] / sum(world["served"].values())
-    assert (got >= share) == (expected == "yes"), got
+    served_share = scenario["served"][account] / sum(scenario["served"].values())
+    assert (served_share >= share) == (expected == "yes"), served_share
 
 
 @when("samples of lots with 9, 1 and 4 seconds of slack arrive")
-def push_lots(world):
+def push_lots(scenario):
     for slack in (9.0, 1.0, 4.0):
         item = QueueItem(f"e/{slack}", "a", RequestClass.TRAINER, slack=slack)
-        world["queue"].push(item, 0.0)
+        scenario["queue"].push(item, 0.0)
 
 
 @then("they are served in the order 1, 4, 9")
-def check_order(world):
-    assert [world["queue"].pop(0.0).slack for _ in range(3)] == [1.0, 4.0, 9.0]
+def check_order(scenario):
+    assert [scenario["queue"].pop(0.0).slack for _ in range(3)] == [1.0, 4.0, 9.0]
--- a/buckthornstile/queueing/tests/test_properties.py
+++ b/buckthornstile/queueing/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the fair queue for any pattern of arrivals."""
+"""Property-based tests of the fair queue for arbitrary arrivals."""
 
 from collections import deque
 from itertools import combinations
@@ -21,10 +21,14 @@
 
 
 def measure_unfairness(push, pop, arrivals):
-    """Gives the worst spread of normalised work of a pair that both wait."""
+    """Returns the worst unfairness between two accounts while both have queued items.
+
+    Unfairness is the range of the difference between their served work, by weight,
+    divided by the bound of one largest item of each.
+    """
     waiting = dict.fromkeys(WEIGHTS, 0)
     served = dict.fromkeys(WEIGHTS, 0.0)
-    ranges, worst = {}, 0.0
+    gap_ranges, worst_unfairness = {}, 0.0
     pops = [pops for _, _, pops in arrivals] + [1] * (2 * len(arrivals))
     for number, count in enumerate(pops):
         if number < len(arrivals):
@@ -42,32 +46,35 @@
         for _ in range(count):
             for pair in combinations(WEIGHTS, 2):
                 if not all(waiting[name] for name in pair):
-                    ranges.pop(pair, None)
+                    gap_ranges.pop(pair, None)
                     continue
                 gap = served[pair[0]] - served[pair[1]]
-                low, high = ranges.get(pair, (gap, gap))
-                ranges[pair] = (min(low, gap), max(high, gap))
+                low, high = gap_ranges.get(pair, (gap, gap))
+                gap_ranges[pair] = (min(low, gap), max(high, gap))
                 bound = sum(MAX_COST / WEIGHTS[name] for name in pair)
-                worst = max(worst, (ranges[pair][1] - ranges[pair][0]) / bound)
+                worst_unfairness = max(
+                    worst_unfairness,
+                    (gap_ranges[pair][1] - gap_ranges[pair][0]) / bound,
+                )
             item = pop()
             if item is None:
                 break
             waiting[item.account] -= 1
             served[item.account] += item.cost / item.weight
-    return worst
+    return worst_unfairness
 
 
 @settings(derandomize=True, deadline=None, max_examples=80)
 @given(ARRIVALS)
-def test_two_waiting_accounts_stay_within_one_item_each(arrivals):
+def test_unfairness_is_within_one_largest_item_of_each_account(arrivals):
     queue = FairQueue()
-    worst = measure_unfairness(
+    worst_unfairness = measure_unfairness(
         lambda item: queue.push(item, 0.0), lambda: queue.pop(0.0), arrivals
     )
-    assert worst <= 1.0 + 1e-9
+    assert worst_unfairness <= 1.0 + 1e-9
 
 
-def test_first_in_first_out_breaks_that_bound():
+def test_fifo_queue_exceeds_the_unfairness_bound():
     arrivals = [("a", 50.0, 0)] * 20 + [("b", 50.0, 0)] * 20
     queue = deque()
     pop = lambda: queue.popleft() if queue else None
@@ -79,8 +86,8 @@
     st.lists(st.floats(1.0, MAX_COST), min_size=1, max_size=20),
     st.floats(1.0, MAX_COST),
 )
-def test_the_lowest_class_is_served_within_the_floor(costs, wanted):
-    queue = FairQueue(floor=0.1)
+def test_lowest_class_receives_its_minimum_share(costs, wanted):
+    queue = FairQueue(min_class_share=0.1)
     queue.push(QueueItem("low/0", "z", RequestClass.BACKGROUND, cost=wanted), 0.0)
     served = 0.0
     for number in range(2000):
@@ -96,24 +103,24 @@
 
 
 class QueueMachine(RuleBasedStateMachine):
-    """Each item leaves the queue once: popped, shed, expired or removed."""
+    """Each item leaves the queue once: it is popped, shed, expired or removed."""
 
     def __init__(self):
         super().__init__()
-        self.queue = FairQueue(maximum_items=8, maximum_items_per_account=5)
+        self.queue = FairQueue(max_items=8, max_items_per_account=5)
         self.now, self.number = 0.0, 0
-        self.inside, self.popped = {}, []
+        self.queued_items, self.popped = {}, []
 
-    def leave(self, item):
-        assert self.inside.pop(item.request_id) == item
+    def record_left(self, item):
+        assert self.queued_items.pop(item.request_id) == item
 
     @rule(
         account=st.sampled_from("abc"),
         request_class=st.sampled_from(RequestClass),
         cost=st.floats(0.0, MAX_COST),
-        patience=st.floats(0.0, 5.0),
+        time_to_deadline=st.floats(0.0, 5.0),
     )
-    def push(self, account, request_class, cost, patience):
+    def push(self, account, request_class, cost, time_to_deadline):
         self.number += 1
         item = QueueItem(
             f"e/{self.number}",
@@ -121,16 +128,16 @@
             request_class,
             weight=WEIGHTS[account],
             cost=cost,
-            deadline=self.now + patience,
+            deadline=self.now + time_to_deadline,
         )
         result = self.queue.push(item, self.now)
         for expired in self.queue.pop_expired():
-            self.leave(expired)
+            self.record_left(expired)
         for shed in result.shed:
             assert shed.account != account
-            self.leave(shed)
+            self.record_left(shed)
         if result.accepted:
-            self.inside[item.request_id] = item
+            self.queued_items[item.request_id] = item
         else:
             assert result.code is ErrorCode.QUEUE_FULL
 
@@ -139,12 +146,12 @@
         item = self.queue.pop(self.now)
         for expired in self.queue.pop_expired():
             assert expired.deadline <= self.now
-            self.leave(expired)
+            self.record_left(expired)
         if item is None:
-            assert not self.inside
+            assert not self.queued_items
             return
         assert item.deadline > self.now
-        self.leave(item)
+        self.record_left(item)
         self.popped.append(item)
 
     @precondition(lambda self: self.popped)
@@ -153,20 +160,20 @@
         item = self.popped.pop()
         self.queue.charge(item.request_id, item.cost * factor)
 
-    @precondition(lambda self: self.inside)
+    @precondition(lambda self: self.queued_items)
     @rule(data=st.data())
     def remove(self, data):
-        request_id = data.draw(st.sampled_from(sorted(self.inside)))
-        self.leave(self.queue.remove(request_id))
+        request_id = data.draw(st.sampled_from(sorted(self.queued_items)))
+        self.record_left(self.queue.remove(request_id))
 
     @rule(seconds=st.floats(0.0, 3.0))
     def wait(self, seconds):
         self.now += seconds
 
     @invariant()
-    def sizes_agree(self):
-        assert len(self.queue) == len(self.inside) <= 8
-        work = sum(item.cost for item in self.inside.values())
+    def size_and_cost_match_the_queued_items(self):
+        assert len(self.queue) == len(self.queued_items) <= 8
+        work = sum(item.cost for item in self.queued_items.values())
         assert self.queue.queued_cost == pytest.approx(work, abs=1e-6)
 
 
--- a/buckthornstile/routing/__init__.py
+++ b/buckthornstile/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Placing work on names that every process ranks alike."""
+"""Placement of work by a ranking that is the same in every process."""
 
 from buckthornstile.routing._rendezvous import compute_rendezvous_score
 
