--- a/buckthornstile/duties/_lease.py
+++ b/buckthornstile/duties/_lease.py
@@ -6,8 +6,8 @@
 written, and a delayed append is refused. The term is the offset of the claim.
 
 The holder may act until ``VALIDITY_FRACTION`` of the turn bound has passed since it
-*sent* its newest acknowledged record. Other processes claim the lease when they
-have *read* no lease record for ``CLAIM_TIMEOUT_FRACTION`` of the turn bound. Two
+*sent* its newest acknowledged claim or renewal. Other processes claim the lease when
+they have *read* no lease record for ``CLAIM_TIMEOUT_FRACTION`` of the turn bound. Two
 successive changes of the holder therefore take longer than the turn bound.
 """
 
