--- a/buckthornstile/entry/_components.py
+++ b/buckthornstile/entry/_components.py
@@ -74,8 +74,8 @@
         resources.clock,
         list_entries=lambda: list(list_possibly_live()),
         name=resources.name,
-        overage=settings.cold_overage,
-        slack=settings.cold_slack,
+        cold_rate_factor=settings.cold_overage,
+        cold_rate_slack=settings.cold_slack,
         default_cold_rate=settings.cold_rate,
     )
     watch = TopologyWatcher(
@@ -83,7 +83,7 @@
         view,
         clock=resources.clock,
         on_change=on_change,
-        heartbeat=settings.heartbeat,
+        heartbeat_interval=settings.heartbeat,
     )
     source = random.Random(resources.name)
     sender = CallSender(balancer, pool, random_source=source, on_executed=on_executed)
--- a/buckthornstile/entry/_daemon.py
+++ b/buckthornstile/entry/_daemon.py
@@ -157,7 +157,7 @@
         if self.settings.client_address:
             if not self.topology_watcher.is_loaded():
                 return False
-            ages.append(self.topology_watcher.operator.get_staleness())
+            ages.append(self.topology_watcher.operator_consumer.get_staleness())
         if self.configuration is not None:
             if not self.configuration.is_loaded:
                 return False
@@ -272,14 +272,16 @@
                 topology_watcher=self.topology_watcher,
                 sender=self.sender,
                 stream_proxy=self.stream_proxy,
-                jobs=self.jobs,
+                job_store=self.jobs,
                 clock=self.clock,
                 wall_clock=self.get_wall_time,
                 metrics=self.metrics,
                 choose_first_owner=self.owner.choose_first_owner,
                 key_bound=settings.key_bound,
                 fails_closed=settings.fails_closed,
-                peers=PeerClient(self.name, self.assignment, self.presence, self.pool),
+                peer_client=PeerClient(
+                    self.name, self.assignment, self.presence, self.pool
+                ),
             )
         )
         self.client_listener = self._add_door(handlers.handle, settings.client_address)
@@ -308,7 +310,7 @@
             self.view,
             clock=self.clock,
             key_bound=settings.key_bound,
-            read_upstream_age=self.topology_watcher.upstreams.get_staleness,
+            read_upstream_age=self.topology_watcher.upstream_consumer.get_staleness,
             on_change=self.revocation.cancel_revoked,
         )
         self.admission = AdmissionController(
@@ -379,7 +381,9 @@
             "upstreams_known": len(self.view.upstreams),
             "configuration_version": getattr(self.view.configuration, "version", 0),
             "configuration_revision": revision,
-            "configuration_age_seconds": self.topology_watcher.operator.get_staleness(),
+            "configuration_age_seconds": (
+                self.topology_watcher.operator_consumer.get_staleness()
+            ),
             "jobs_age_seconds": self.jobs.get_staleness(),
             "holds_lease": float(self.control.lease_manager.lease.is_held()),
             "ready": float(self.is_ready()),
@@ -409,8 +413,8 @@
     def _may_load_jobs(self) -> bool:
         """Whether what calls need is read, so that jobs may be loaded beside it."""
         is_read = (
-            self.topology_watcher.operator.is_loaded
-            and self.topology_watcher.upstreams.is_loaded
+            self.topology_watcher.operator_consumer.is_loaded
+            and self.topology_watcher.upstream_consumer.is_loaded
         )
         return is_read and self.presence_publisher.is_presence_known()
 
--- a/buckthornstile/entry/tests/test_configuration.py
+++ b/buckthornstile/entry/tests/test_configuration.py
@@ -84,7 +84,7 @@
     worker.remove_entry()
     deployment.start_store()
     await deployment.wait_for(
-        lambda: entry.topology_watcher.upstreams.disconnected_at is None
+        lambda: entry.topology_watcher.upstream_consumer.disconnected_at is None
     )
     assert (await deployment.call("e1", "r1")).status == 200
     await deployment.wait_for(lambda: "w1" not in entry.view.upstreams, timeout=4.0)
--- a/buckthornstile/entry/tests/test_load_balancer.py
+++ b/buckthornstile/entry/tests/test_load_balancer.py
@@ -36,8 +36,8 @@
                 lambda: self.now,
                 list_entries=lambda: names,
                 name=name,
-                overage=OVERAGE,
-                slack=SLACK,
+                cold_rate_factor=OVERAGE,
+                cold_rate_slack=SLACK,
             )
             for name in names
         ]
@@ -137,4 +137,4 @@
     place = deployment.balancer.acquire_permit(deployment.get("w0"))
     place.release()
     place.release()
-    assert deployment.balancer.get_stats(deployment.get("w0")).open == 0
+    assert deployment.balancer.get_stats(deployment.get("w0")).open_request_count == 0
--- a/buckthornstile/gateway/_call_sender.py
+++ b/buckthornstile/gateway/_call_sender.py
@@ -1,4 +1,4 @@
-"""Sends one request to upstreams until one of them answers it."""
+"""Sends a request to upstreams until one of them responds."""
 
 import asyncio
 import contextlib
@@ -21,22 +21,24 @@
 from buckthornstile.platform import decode_response_head, encode_upstream_call
 from buckthornstile.topology import Route, RouteKind, Upstream
 
-HEDGE_SHARE = 0.45
-"""Share of the latency objective after which a repeatable request is sent again."""
+HEDGE_DELAY_FRACTION = 0.45
+"""Fraction of the target latency after which an idempotent request is also sent to a
+second upstream."""
 MAX_REFUSALS = 4
-"""Upstreams that may refuse a request before it is given up."""
+"""Number of refusals by upstreams after which a request fails."""
 REFUSAL_PAUSE = 0.05
-"""Seconds for which an upstream that had no place is avoided."""
+"""Seconds for which an upstream that had no free slot is avoided."""
 RETRY_AFTER_SECONDS = 0.1
-"""Seconds after which a request that was not run may come again."""
-FULL_ANSWER_STATUS = 500
+"""Seconds after which a client may retry a request that was not run."""
+FIRST_SERVER_ERROR_STATUS = 500
+"""HTTP status from which a response counts as the upstream's failure."""
 
 OnExecuted = Callable[[AccountId, float], None]
 
 
 @dataclass(slots=True)
 class UpstreamResponse:
-    """A whole answer of an upstream."""
+    """A complete response of an upstream."""
 
     head: ResponseHead
     body: bytes
@@ -51,14 +53,14 @@
 
 
 class CallSender:
-    """Sends requests with retries and, where they may run twice, hedges.
+    """Sends requests with retries and, for idempotent requests, hedges.
 
     Args:
         balancer: Chooses upstreams.
         pool: Connections to them.
-        random_source: For the choice of a service by its share.
+        random_source: Source of randomness for the choice of a service.
         on_executed: Called when an upstream has run an account's request, with the
-            seconds since it began.
+            account and the seconds since the request was started.
     """
 
     def __init__(
@@ -75,16 +77,16 @@
         self.on_executed = on_executed
 
     async def send(self, call: RoutedCall) -> UpstreamResponse:
-        """Sends a request and gives the answer that goes to the client.
+        """Sends a request and returns the response for the client.
 
         Raises:
-            BuckthornstileError: There is no answer; the verdict is NOT_RUN only if
-                no upstream has run the request or will.
+            BuckthornstileError: No upstream returned a response; the verdict is NOT_RUN
+                only if no upstream has run the request or will run it.
         """
-        return await _Sending(self, call).run()
+        return await _PendingCall(self, call).run()
 
     def choose_service(self, route: Route) -> ServiceName:
-        """Chooses a route's service by the configured shares."""
+        """Returns one of a route's services, chosen at random by their weights."""
         names = [name for name, _ in route.services]
         weights = [weight for _, weight in route.services]
         if len(names) == 1 or not any(weights):
@@ -92,29 +94,29 @@
         return self.random_source.choices(names, weights)[0]
 
 
-def is_too_old(error: BaseException | None) -> bool:
-    """Whether a request was kept back as the process knows too little."""
+def is_stale_configuration_error(error: BaseException | None) -> bool:
+    """Whether a request was held back because the configuration here is too old."""
     return (
         isinstance(error, BuckthornstileError)
         and error.code is ErrorCode.CONFIGURATION_OLD
     )
 
 
-class _Sending:
-    """The attempts of one request."""
+class _PendingCall:
+    """One request and its attempts at upstreams."""
 
     def __init__(self, sender: CallSender, call: RoutedCall) -> None:
         self.sender = sender
         self.call = call
-        self.repeats = call.route.kind is RouteKind.IDEMPOTENT
+        self.is_idempotent = call.route.kind is RouteKind.IDEMPOTENT
         self.tried: list[UpstreamId] = []
         self.running: dict[asyncio.Task[UpstreamResponse], _Attempt] = {}
-        self.runs = 0
-        self.refusals = 0
+        self.run_count = 0
+        self.refusal_count = 0
         self.may_have_run = False
-        self.failure: UpstreamResponse | None = None
-        self.error: BuckthornstileError | None = None
-        self.hedges = self.repeats
+        self.failed_response: UpstreamResponse | None = None
+        self.last_error: BuckthornstileError | None = None
+        self.can_hedge = self.is_idempotent
         self.service = sender.choose_service(call.route)
 
     async def run(self) -> UpstreamResponse:
@@ -122,28 +124,30 @@
         try:
             self._start()
             while self.running:
-                left = self.call.deadline - loop.time()
-                if left <= 0:
+                remaining = self.call.deadline - loop.time()
+                if remaining <= 0:
                     break
-                hedge = self._get_hedge_delay() if self._may_repeat() else left
+                hedge_delay = (
+                    self._get_hedge_delay() if self._may_hedge() else remaining
+                )
                 done, _ = await asyncio.wait(
                     self.running,
-                    timeout=min(left, hedge),
+                    timeout=min(remaining, hedge_delay),
                     return_when=asyncio.FIRST_COMPLETED,
                 )
-                answer = self._take_answer(done)
-                if answer is not None:
-                    return answer
+                response = self._collect_response(done)
+                if response is not None:
+                    return response
                 if done and self._may_retry():
                     self._start()
                 elif not done and loop.time() < self.call.deadline:
-                    self._note_slow()
-                    self.hedges = self._start()
-            if self.failure is not None:
-                return self.failure
+                    self._record_slow_attempts()
+                    self.can_hedge = self._start()
+            if self.failed_response is not None:
+                return self.failed_response
             raise self._make_error(loop.time())
         finally:
-            await self._cancel_rest()
+            await self._cancel_running()
 
     def _start(self) -> bool:
         balancer = self.sender.balancer
@@ -156,7 +160,7 @@
         ):
             return False
         self.tried.append(upstream.id)
-        self.runs += 1
+        self.run_count += 1
         task = asyncio.create_task(self._attempt(upstream))
         now = asyncio.get_running_loop().time()
         self.running[task] = _Attempt(upstream, task, now)
@@ -181,27 +185,28 @@
                 last_event_id=request.last_event_id,
             )
         )
-        place = balancer.acquire_permit(upstream)
+        permit = balancer.acquire_permit(upstream)
         try:
-            # On a kept connection an unanswered request may have been run.
-            answer = await self.sender.pool.send(
+            # If a reused connection breaks before the response, the request may have
+            # run; so a request that must not run twice gets a new connection.
+            response = await self.sender.pool.send(
                 upstream.address,
                 outgoing,
-                new_connection=not self.repeats,
+                new_connection=not self.is_idempotent,
                 before_send=call.before_send,
             )
         finally:
-            place.release()
-        head = decode_response_head(answer)
+            permit.release()
+        head = decode_response_head(response)
         balancer.record_load(upstream, head.load)
         if not head.is_refusal:
             balancer.record_latency(upstream, loop.time() - started_at)
             if call.account is not None:
-                age = loop.time() - started_at
-                self.sender.on_executed(call.account, age)
-        return UpstreamResponse(head, bytes(answer.body), upstream.id)
+                elapsed = loop.time() - started_at
+                self.sender.on_executed(call.account, elapsed)
+        return UpstreamResponse(head, bytes(response.body), upstream.id)
 
-    def _take_answer(
+    def _collect_response(
         self, done: "set[asyncio.Task[UpstreamResponse]]"
     ) -> UpstreamResponse | None:
         best: UpstreamResponse | None = None
@@ -209,13 +214,13 @@
             attempt = self.running.pop(task)
             error = task.exception()
             if error is not None:
-                self._note_error(attempt, error)
+                self._record_error(attempt, error)
             else:
-                best = self._judge(attempt, task.result()) or best
+                best = self._evaluate_response(attempt, task.result()) or best
         return best
 
-    def _note_error(self, attempt: _Attempt, error: BaseException) -> None:
-        if not is_too_old(error):
+    def _record_error(self, attempt: _Attempt, error: BaseException) -> None:
+        if not is_stale_configuration_error(error):
             self.sender.balancer.record_failure(attempt.upstream)
         if not isinstance(error, BuckthornstileError):
             error = BuckthornstileError(
@@ -224,11 +229,11 @@
                 verdict=Verdict.MAY_HAVE_RUN,
             )
         if error.verdict is Verdict.NOT_RUN:
-            self.runs -= 1
-            self.refusals += 1
+            self.run_count -= 1
+            self.refusal_count += 1
         else:
             self.may_have_run = True
-        self.error = error
+        self.last_error = error
         log_event(
             "call.attempt_failed",
             request=self.call.request.id,
@@ -238,13 +243,13 @@
             verdict=error.verdict.value,
         )
 
-    def _judge(
-        self, attempt: _Attempt, answer: UpstreamResponse
+    def _evaluate_response(
+        self, attempt: _Attempt, response: UpstreamResponse
     ) -> UpstreamResponse | None:
-        balancer, head = self.sender.balancer, answer.head
+        balancer, head = self.sender.balancer, response.head
         if head.is_refusal:
-            self.runs -= 1
-            self.refusals += 1
+            self.run_count -= 1
+            self.refusal_count += 1
             if head.other_upstream is not None:
                 balancer.record_failure(attempt.upstream)
             else:
@@ -254,31 +259,33 @@
         if head.has_content_encoding or (head.status < 300 and not head.signature):
             balancer.record_failure(attempt.upstream)
             return None
-        if head.status >= FULL_ANSWER_STATUS and self.repeats:
-            self.failure = answer
-            return None if self._may_retry() or self.running else answer
+        if head.status >= FIRST_SERVER_ERROR_STATUS and self.is_idempotent:
+            self.failed_response = response
+            return None if self._may_retry() or self.running else response
         balancer.record_success(attempt.upstream)
-        return answer
+        return response
 
     def _may_retry(self) -> bool:
-        """Whether another upstream may be asked after a failure."""
-        if self.refusals >= MAX_REFUSALS or is_too_old(self.error):
+        """Whether the request may be sent to another upstream after a failure."""
+        if self.refusal_count >= MAX_REFUSALS or is_stale_configuration_error(
+            self.last_error
+        ):
             return False
-        if not self.repeats and self.may_have_run:
+        if not self.is_idempotent and self.may_have_run:
             return False
-        return self.runs < max(1, self.call.route.max_attempts)
+        return self.run_count < max(1, self.call.route.max_attempts)
 
-    def _may_repeat(self) -> bool:
-        """Whether the request may be sent again beside one that is running."""
-        return self.hedges and self.runs < self.call.route.max_attempts
+    def _may_hedge(self) -> bool:
+        """Whether the request may be sent again while an attempt is running."""
+        return self.can_hedge and self.run_count < self.call.route.max_attempts
 
     def _get_hedge_delay(self) -> float:
-        newest = max(one.started_at for one in self.running.values())
-        delay = HEDGE_SHARE * self.call.route.target_latency
+        newest_start = max(one.started_at for one in self.running.values())
+        delay = HEDGE_DELAY_FRACTION * self.call.route.target_latency
         now = asyncio.get_running_loop().time()
-        return max(0.001, newest + delay - now)
+        return max(0.001, newest_start + delay - now)
 
-    def _note_slow(self) -> None:
+    def _record_slow_attempts(self) -> None:
         now = asyncio.get_running_loop().time()
         for attempt in self.running.values():
             self.sender.balancer.record_latency(
@@ -287,28 +294,35 @@
 
     def _make_error(self, now: float) -> BuckthornstileError:
         if now >= self.call.deadline:
-            ran = self.may_have_run or bool(self.running)
-            verdict = Verdict.MAY_HAVE_RUN if ran else Verdict.NOT_RUN
+            may_have_run = self.may_have_run or bool(self.running)
+            verdict = Verdict.MAY_HAVE_RUN if may_have_run else Verdict.NOT_RUN
             return BuckthornstileError(
-                ErrorCode.DEADLINE_PASSED, "no answer in time", verdict=verdict
+                ErrorCode.DEADLINE_PASSED,
+                "no upstream responded before the deadline",
+                verdict=verdict,
             )
         if not self.may_have_run:
-            if self.error is not None and is_too_old(self.error):
-                return self.error
+            if self.last_error is not None and is_stale_configuration_error(
+                self.last_error
+            ):
+                return self.last_error
             return BuckthornstileError(
                 ErrorCode.NO_UPSTREAM,
-                f"no upstream of service {self.service!r} took the request",
+                f"no upstream of service {self.service!r} accepted the request",
                 retry_after=RETRY_AFTER_SECONDS,
             )
-        if self.error is not None and self.error.verdict is not Verdict.NOT_RUN:
-            return self.error
+        if (
+            self.last_error is not None
+            and self.last_error.verdict is not Verdict.NOT_RUN
+        ):
+            return self.last_error
         return BuckthornstileError(
             ErrorCode.UPSTREAM_FAILED,
-            "no upstream gave a whole answer",
+            "no upstream returned a complete response",
             verdict=Verdict.MAY_HAVE_RUN,
         )
 
-    async def _cancel_rest(self) -> None:
+    async def _cancel_running(self) -> None:
         tasks = list(self.running)
         for task in tasks:
             task.cancel()
--- a/buckthornstile/gateway/_handlers.py
+++ b/buckthornstile/gateway/_handlers.py
@@ -1,4 +1,4 @@
-"""Answers clients: calls, batch jobs, their results and bodies."""
+"""Handlers of clients' requests: calls, batch jobs, their results and item bodies."""
 
 import asyncio
 import contextlib
@@ -33,55 +33,58 @@
 from buckthornstile.topology import PlatformAccount, Route, RouteKind, TopologyView
 
 KEY_BOUND_FRACTION = 0.9
-"""Share of the bound on withdrawn keys for which keys are trusted unseen."""
+"""Fraction of the withdrawal bound for which keys are accepted without new records."""
 RETRY_AFTER_SECONDS = 0.1
-"""Seconds after which a request that was not run may come again."""
-CATCH_UP_TIME = 0.6
-"""Seconds in which a process makes sure that it knows no such job."""
-STALE_TIME = 1.2
-"""Seconds without the store after which the end of a job's results is not known."""
-OPEN_ACCOUNT = AccountId("open")
-"""Stands for the callers of open routes in metrics."""
-DEFAULT_TIME = 10.0
-ANSWER_MARGIN = 0.02
-"""Seconds before the client's deadline at which a request is given up."""
+"""Seconds after which a client may retry a request that was not run."""
+CATCH_UP_TIMEOUT = 0.6
+"""Seconds in which this process must read the store's latest records before it reports
+a job as unknown."""
+MAX_RESULT_STALENESS = 1.2
+"""Seconds without the store after which a job may have results not known here."""
+ANONYMOUS_ACCOUNT = AccountId("open")
+"""Stands in metrics for the callers of routes that need no key."""
+DEFAULT_TIMEOUT = 10.0
+"""Seconds that a request may take if it states no remaining time."""
+RESPONSE_MARGIN = 0.02
+"""Seconds before the client's deadline at which a request fails, so that the response
+arrives in time."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandlerDependencies:
-    """What the handlers use."""
+    """The objects and settings that the handlers use."""
 
     view: TopologyView
     topology_watcher: TopologyWatcher
     sender: CallSender
     stream_proxy: StreamProxy
-    jobs: JobStore
+    job_store: JobStore
     clock: Callable[[], float]
     wall_clock: Callable[[], float]
     metrics: GatewayMetrics
     choose_first_owner: Callable[[JobSpecification], ProcessName]
-    peers: PeerClient
+    peer_client: PeerClient
     key_bound: float
     fails_closed: bool
 
 
 class ClientHandlers:
-    """Answers the requests that come through the clients' door."""
+    """Handles the requests that clients and other entries send."""
 
     def __init__(self, dependencies: HandlerDependencies) -> None:
         self.dependencies = dependencies
 
     async def handle(self, request: ClientRequest) -> Response | StreamingResponse:
-        """Answers one request; failures become an honest status."""
-        return await self._answer(request, self._dispatch(request))
+        """Handles a client's request; an error becomes a response with its status."""
+        return await self._respond(request, self._dispatch(request))
 
     async def handle_forwarded(
         self, request: ClientRequest
     ) -> Response | StreamingResponse:
-        """Answers a request about a job that another entry passed on."""
-        return await self._answer(request, self._serve_job(request))
+        """Handles a request about a job that another entry forwarded."""
+        return await self._respond(request, self._serve_job(request))
 
-    async def _answer(
+    async def _respond(
         self,
         request: ClientRequest,
         work: Coroutine[Any, Any, Response | StreamingResponse],
@@ -89,7 +92,7 @@
         try:
             return await work
         except BuckthornstileError as error:
-            reply = make_error_response(error)
+            response = make_error_response(error)
             log_event(
                 "request.refused",
                 request=request.id,
@@ -97,17 +100,19 @@
                 error=error.code.value,
                 reason=error.message,
                 verdict=error.verdict.value,
-                status=reply.status,
+                status=response.status,
                 configuration=getattr(
                     self.dependencies.view.configuration, "version", None
                 ),
-                store_age=self.dependencies.topology_watcher.operator.get_staleness(),
+                store_age=(
+                    self.dependencies.topology_watcher.operator_consumer.get_staleness()
+                ),
             )
-            return reply
+            return response
 
     async def _dispatch(self, request: ClientRequest) -> Response | StreamingResponse:
-        subject, _ = parse_path(request.path)
-        if subject in (ResourceKind.JOB, ResourceKind.ITEM):
+        resource_kind, _ = parse_path(request.path)
+        if resource_kind in (ResourceKind.JOB, ResourceKind.ITEM):
             return await self._serve_or_forward(request)
         route = self._find_route(request)
         account = self._authenticate(request, route.allows_anonymous)
@@ -121,7 +126,7 @@
         if self.dependencies.view.configuration is None:
             raise BuckthornstileError(
                 ErrorCode.CONFIGURATION_MISSING,
-                "no configuration is known yet",
+                "no configuration has been loaded yet",
                 retry_after=RETRY_AFTER_SECONDS,
             )
         route = self.dependencies.view.find_route(request.host, request.path)
@@ -132,33 +137,33 @@
         return route
 
     def _authenticate(
-        self, request: ClientRequest, is_open: bool = False
+        self, request: ClientRequest, allows_anonymous: bool = False
     ) -> PlatformAccount | None:
         view = self.dependencies.view
         configuration = view.configuration
         if configuration is None:
             raise BuckthornstileError(
                 ErrorCode.CONFIGURATION_MISSING,
-                "no configuration is known yet",
+                "no configuration has been loaded yet",
                 retry_after=RETRY_AFTER_SECONDS,
             )
-        if is_open or not configuration.accounts:
+        if allows_anonymous or not configuration.accounts:
             return None
-        age = self.dependencies.topology_watcher.operator.get_staleness()
+        staleness = self.dependencies.topology_watcher.operator_consumer.get_staleness()
         if (
             self.dependencies.fails_closed
-            and age > KEY_BOUND_FRACTION * self.dependencies.key_bound
+            and staleness > KEY_BOUND_FRACTION * self.dependencies.key_bound
         ):
             raise BuckthornstileError(
                 ErrorCode.CONFIGURATION_OLD,
-                f"the configuration is {age:.1f} s old, too old to trust a key",
+                f"the configuration is {staleness:.1f} s old, too old to accept a key",
                 retry_after=RETRY_AFTER_SECONDS,
             )
         if not request.key:
             raise BuckthornstileError(ErrorCode.KEY_MISSING, "the request has no key")
         account = view.find_account(request.key)
         if account is None:
-            raise BuckthornstileError(ErrorCode.KEY_UNKNOWN, "the key is not known")
+            raise BuckthornstileError(ErrorCode.KEY_UNKNOWN, "the key is unknown")
         return account
 
     # Calls
@@ -170,56 +175,64 @@
             raise BuckthornstileError(ErrorCode.HEADER_INVALID, "the request has no id")
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        left = (
-            DEFAULT_TIME if request.remaining_time is None else request.remaining_time
+        remaining = (
+            DEFAULT_TIMEOUT
+            if request.remaining_time is None
+            else request.remaining_time
         )
-        time = min(left - ANSWER_MARGIN, route.timeout)
-        if time <= 0:
-            raise BuckthornstileError(ErrorCode.DEADLINE_PASSED, "no time is left")
-        planned = RoutedCall(
+        timeout = min(remaining - RESPONSE_MARGIN, route.timeout)
+        if timeout <= 0:
+            raise BuckthornstileError(
+                ErrorCode.DEADLINE_PASSED, "the request's deadline has already passed"
+            )
+        call = RoutedCall(
             request,
             route,
             account.name if account else None,
-            started_at + time,
+            started_at + timeout,
         )
         if route.is_streaming:
-            return await self.dependencies.stream_proxy.open(planned)
-        answer = await self.dependencies.sender.send(planned)
+            return await self.dependencies.stream_proxy.open(call)
+        upstream_response = await self.dependencies.sender.send(call)
         self.dependencies.metrics.record_call(
-            account.name if account else OPEN_ACCOUNT, loop.time() - started_at
+            account.name if account else ANONYMOUS_ACCOUNT, loop.time() - started_at
         )
         log_event(
             "call.answered",
             request=request.id,
             route=route.name,
-            upstream=answer.upstream,
-            status=answer.head.status,
+            upstream=upstream_response.upstream,
+            status=upstream_response.head.status,
             seconds=loop.time() - started_at,
         )
-        return Response(answer.head.status, answer.body, answer.head.headers)
+        return Response(
+            upstream_response.head.status,
+            upstream_response.body,
+            upstream_response.head.headers,
+        )
 
     # Batch jobs
 
     async def _submit(
         self, request: ClientRequest, route: Route, account: PlatformAccount | None
     ) -> Response:
-        owner = _get_name(account)
-        known = self.dependencies.jobs.table.find(JobId(request.id))
-        if known is not None and known.specification.account == owner:
+        account_id = _get_account_id(account)
+        existing = self.dependencies.job_store.table.find(JobId(request.id))
+        if existing is not None and existing.specification.account == account_id:
             return Response(202)
         specification = decode_job(
             request.id,
             request.body,
-            account=owner,
+            account=account_id,
             route=route,
             submitted_at=self.dependencies.wall_clock(),
         )
         first_owner = self.dependencies.choose_first_owner(specification)
-        await self.dependencies.jobs.accept(specification, first_owner)
+        await self.dependencies.job_store.accept(specification, first_owner)
         log_event(
             "job.accepted",
             job=specification.id,
-            account=owner,
+            account=account_id,
             owner=first_owner,
             items=len(specification.items),
             step=specification.step,
@@ -229,35 +242,36 @@
         return Response(202)
 
     async def _serve_or_forward(self, request: ClientRequest) -> Response:
-        """Answers a request about a job, here or where its partition is followed."""
-        jobs = self.dependencies.jobs
-        part = jobs.find_partition(_get_name(self._authenticate(request)))
-        if jobs.is_consumed(part):
+        """Handles a request about a job, or forwards it to an assigned entry."""
+        job_store = self.dependencies.job_store
+        part = job_store.find_partition(_get_account_id(self._authenticate(request)))
+        if job_store.is_consumed(part):
             return await self._serve_job(request)
         try:
-            return await self.dependencies.peers.forward(request, part)
+            return await self.dependencies.peer_client.forward(request, part)
         except BuckthornstileError:
-            # Followed from now on, it is known here when the client comes again.
-            jobs.request_partition(part)
+            # This process consumes the partition from now on, so that it can serve
+            # the client's retry itself.
+            job_store.request_partition(part)
             raise
 
     async def _serve_job(self, request: ClientRequest) -> Response:
         account = self._authenticate(request)
-        if not self.dependencies.jobs.is_consumed(
-            self.dependencies.jobs.find_partition(_get_name(account))
+        if not self.dependencies.job_store.is_consumed(
+            self.dependencies.job_store.find_partition(_get_account_id(account))
         ):
             raise BuckthornstileError(
                 ErrorCode.PLATFORM_UNAVAILABLE,
-                "the job's partition is not followed here",
+                "this process does not consume the job's partition",
                 retry_after=RETRY_AFTER_SECONDS,
             )
-        subject, name = parse_path(request.path)
-        if subject is ResourceKind.ITEM:
+        resource_kind, name = parse_path(request.path)
+        if resource_kind is ResourceKind.ITEM:
             return await self._read_item(request, JobId(name), account)
-        if subject is ResourceKind.JOB:
+        if resource_kind is ResourceKind.JOB:
             return await self._handle_job(request, JobId(name), account)
         raise BuckthornstileError(
-            ErrorCode.ROUTE_UNKNOWN, f"no job's path {request.path[:60]!r}"
+            ErrorCode.ROUTE_UNKNOWN, f"path {request.path[:60]!r} does not name a job"
         )
 
     async def _handle_job(
@@ -269,13 +283,13 @@
             raise BuckthornstileError(
                 ErrorCode.HEADER_INVALID, f"method {request.method!r} is not allowed"
             )
-        start = _read_position(request)
+        start = _parse_position(request)
         job = await self._find_job(job_id, account)
         if start >= len(job.results) and not job.is_finished():
             await self._wait_for_result(job, start, request.wait)
         total = len(job.items)
         if start >= len(job.results) and len(job.results) < total:
-            self._check_fresh(job)
+            self._check_freshness(job)
         body = encode_results(job.results, total, start)
         return Response(200, body, (("Content-Type", "application/json"),))
 
@@ -283,12 +297,12 @@
         self, request: ClientRequest, job_id: JobId, account: PlatformAccount | None
     ) -> Response:
         job = await self._find_job(job_id, account)
-        names = parse_qs(request.query).get("id", [""])
+        item_ids = parse_qs(request.query).get("id", [""])
         for item in job.iterate_pending_items():
-            if item.id == names[0] and not job.ended:
+            if item.id == item_ids[0] and not job.ended:
                 return Response(200, item.body)
         raise BuckthornstileError(
-            ErrorCode.LOT_UNKNOWN, f"job {job_id!r} has no open item {names[0]!r}"
+            ErrorCode.LOT_UNKNOWN, f"job {job_id!r} has no open item {item_ids[0]!r}"
         )
 
     async def _end_job(
@@ -296,25 +310,25 @@
     ) -> Response:
         job = await self._find_job(job_id, account)
         if not job.ended:
-            await self.dependencies.jobs.end(job)
+            await self.dependencies.job_store.end(job)
             log_event("job.ended", job=job_id, listed=len(job.results))
         return Response(200)
 
     async def _find_job(self, job_id: JobId, account: PlatformAccount | None) -> Job:
-        table = self.dependencies.jobs.table
+        table = self.dependencies.job_store.table
         job = table.find(job_id)
         if job is None:
-            part = self.dependencies.jobs.find_partition(_get_name(account))
-            consumer = self.dependencies.jobs.consumers[part]
-            if not await consumer.wait_until_synced(CATCH_UP_TIME):
+            part = self.dependencies.job_store.find_partition(_get_account_id(account))
+            consumer = self.dependencies.job_store.consumers[part]
+            if not await consumer.wait_until_synced(CATCH_UP_TIMEOUT):
                 raise BuckthornstileError(
                     ErrorCode.PLATFORM_UNAVAILABLE,
-                    f"it is not known whether job {job_id!r} exists",
+                    f"the store could not be read to look up job {job_id!r}",
                     retry_after=RETRY_AFTER_SECONDS,
                 )
             job = table.find(job_id)
-        owner = _get_name(account)
-        if job is None or job.specification.account != owner:
+        account_id = _get_account_id(account)
+        if job is None or job.specification.account != account_id:
             raise BuckthornstileError(
                 ErrorCode.LOT_UNKNOWN, f"job {job_id!r} does not exist"
             )
@@ -322,10 +336,10 @@
 
     async def _wait_for_result(self, job: Job, start: int, wait: float) -> None:
         loop = asyncio.get_running_loop()
-        until = loop.time() + wait
+        deadline = loop.time() + wait
         while start >= len(job.results) and not job.is_finished():
-            left = until - loop.time()
-            if left <= 0:
+            remaining = deadline - loop.time()
+            if remaining <= 0:
                 return
             changed: asyncio.Future[None] = loop.create_future()
 
@@ -335,23 +349,23 @@
 
             job.change_callbacks.append(wake)
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining):
                     await changed
 
-    def _check_fresh(self, job: Job) -> None:
-        age = self.dependencies.jobs.consumers[job.part].get_staleness()
-        if age > STALE_TIME:
+    def _check_freshness(self, job: Job) -> None:
+        staleness = self.dependencies.job_store.consumers[job.part].get_staleness()
+        if staleness > MAX_RESULT_STALENESS:
             raise BuckthornstileError(
                 ErrorCode.PLATFORM_UNAVAILABLE,
-                f"the results of job {job.id!r} are {age:.1f} s old",
+                f"the results of job {job.id!r} are {staleness:.1f} s old",
                 retry_after=RETRY_AFTER_SECONDS,
             )
 
 
 def make_error_response(error: BuckthornstileError) -> Response:
-    """Makes the answer to a request that failed.
+    """Builds the response to a request that failed.
 
-    Statuses that promise that nothing ran are given only with that verdict.
+    A status that promises that nothing ran is used only if the verdict is NOT_RUN.
     """
     status = get_http_status(error.code)
     if status >= 500 or status == 429:
@@ -362,14 +376,14 @@
     return Response(status, body, (("Content-Type", "text/plain"),), error.retry_after)
 
 
-def _get_name(account: PlatformAccount | None) -> AccountId:
+def _get_account_id(account: PlatformAccount | None) -> AccountId:
     return account.name if account else AccountId("")
 
 
-def _read_position(request: ClientRequest) -> int:
+def _parse_position(request: ClientRequest) -> int:
     value = parse_qs(request.query).get("after", ["0"])[0]
     if not value.isdigit():
         raise BuckthornstileError(
-            ErrorCode.HEADER_INVALID, f"position {value[:20]!r} is no number"
+            ErrorCode.HEADER_INVALID, f"position {value[:20]!r} is not a number"
         )
     return int(value)
--- a/buckthornstile/gateway/_item_execution.py
+++ b/buckthornstile/gateway/_item_execution.py
@@ -254,7 +254,7 @@
         account = self.context.job.specification.account
         metrics = self.context.dependencies.metrics
         metrics.record_item(account, now - started_at)
-        metrics.record_place(account, self.began_at - started_at)
+        metrics.record_queue_wait(account, self.began_at - started_at)
         log_event(
             "item.done",
             job=self.context.job.id,
--- a/buckthornstile/gateway/_job_runner.py
+++ b/buckthornstile/gateway/_job_runner.py
@@ -143,7 +143,7 @@
                     self._waiting.remove(work)
                     place = self.dependencies.balancer.acquire_permit(upstream)
                     task = group.create_task(run(work, upstream, route, place))
-                    task.add_done_callback(place.release_after)
+                    task.add_done_callback(place.release_when_done)
             await self._wait_for_change()
 
     async def _wait_for_change(self) -> None:
@@ -175,7 +175,9 @@
         upstream = balancer.pick(
             self.dependencies.sender.choose_service(route),
             avoided=work.avoided,
-            allows=lambda one: work.allows(one, route) and balancer.has_capacity(one),
+            is_eligible=lambda one: (
+                work.allows(one, route) and balancer.has_capacity(one)
+            ),
             preferred=self._homes.get(group),
         )
         if upstream is not None and group and not work.avoided:
--- a/buckthornstile/gateway/_load_balancer.py
+++ b/buckthornstile/gateway/_load_balancer.py
@@ -1,4 +1,4 @@
-"""What this process has seen of each upstream, and the choice between them."""
+"""The load balancer: statistics of each upstream, and the choice between upstreams."""
 
 from collections import deque
 from collections.abc import Callable, Collection, Iterable
@@ -9,76 +9,89 @@
 from buckthornstile.routing import compute_rendezvous_score
 from buckthornstile.topology import TopologyView, Upstream
 
-LOAD_LIFETIME = 0.5
-"""Seconds for which an upstream's word on its load counts."""
-FIRST_EJECTION = 0.4
-"""Seconds without new work after one failure; doubles with each further one."""
-LONGEST_EJECTION = 3.0
-"""Seconds; a worker that is back must be found again within a step's deadline."""
-PACE_WEIGHT = 0.2
-"""Weight of the newest time in an upstream's moving average."""
-SLOW_RATIO = 1.8
-"""A pace that many times the median of its peers counts as slow."""
-ACTIVE_TIME = 0.3
-"""Seconds for which an upstream that sent something is not taken as silent."""
-NEAR_LOAD = 2.0
-"""Requests more than at the best upstream with which a preferred one is chosen: a
-shared prompt saves less than a crowded engine costs."""
+LOAD_REPORT_LIFETIME = 0.5
+"""Seconds for which the load that an upstream reported is used."""
+BASE_EJECTION_TIME = 0.4
+"""Seconds for which an upstream is ejected after one failure; each further failure in
+a row doubles them."""
+MAX_EJECTION_TIME = 3.0
+"""Longest ejection, in seconds: a worker that is back must be used again within the
+deadline of a training step."""
+LATENCY_WEIGHT = 0.2
+"""Weight of the newest latency in an upstream's moving average."""
+SLOW_LATENCY_RATIO = 1.8
+"""Multiple of the median latency of its peers from which an upstream counts as slow."""
+ACTIVITY_LIFETIME = 0.3
+"""Seconds after its last data for which an upstream counts as active."""
+MAX_EXTRA_LOAD = 2.0
+"""Number of requests by which a preferred upstream may exceed the best upstream's load.
+A shared prompt saves less time than a busier engine costs."""
 COLD_WINDOW = 1.05
-"""Seconds over which starts at a cold upstream are counted; one and a margin for
-the difference of delays."""
+"""Seconds over which the starts at a cold upstream are counted: one second, and a
+margin for differences in network delay."""
 
 
 @dataclass(slots=True)
 class UpstreamStats:
-    """What this process has seen of one incarnation of an upstream.
-
-    ``pace`` is the moving average of seconds for a unit of work: to the head of a
-    plain answer, or between the events of a stream.
+    """What this process has observed of one incarnation of an upstream.
+
+    Attributes:
+        started_at_ms: Start of the incarnation, in milliseconds since the epoch.
+        open_request_count: Number of this process's requests that are open there.
+        load: The load that the upstream reported last.
+        load_received_at: When that load was received, in seconds.
+        own_requests_at_load: This process's open requests at that time.
+        last_active_at: When the upstream last sent something, in seconds.
+        consecutive_failures: Number of failures since the last success, 8 at most.
+        ejected_until: End of its ejection, in seconds.
+        average_latency: Moving average of the seconds that a unit of work takes: until
+            the head of a plain response, or between two events of a stream.
+        refused_until: Until when it is avoided after it refused a request, in seconds.
+        start_times: Times of the requests started within ``COLD_WINDOW``, in seconds.
     """
 
     started_at_ms: int
-    open: int = 0
+    open_request_count: int = 0
     load: UpstreamLoad | None = None
-    load_at: float = -1e9
-    own_at_load: int = 0
-    active_at: float = -1e9
-    failures: int = 0
+    load_received_at: float = -1e9
+    own_requests_at_load: int = 0
+    last_active_at: float = -1e9
+    consecutive_failures: int = 0
     ejected_until: float = 0.0
-    pace: float | None = None
+    average_latency: float | None = None
     refused_until: float = 0.0
-    starts: deque[float] = field(default_factory=deque)
+    start_times: deque[float] = field(default_factory=deque)
 
 
 class Permit:
-    """A request that is open at an upstream; releasing it twice counts once."""
+    """A request that is open at an upstream; only the first release has an effect."""
 
-    def __init__(self, seen: UpstreamStats) -> None:
-        self._seen: UpstreamStats | None = seen
+    def __init__(self, stats: UpstreamStats) -> None:
+        self._stats: UpstreamStats | None = stats
 
     def release(self) -> None:
-        """Notes that the request has ended, however it did."""
-        if self._seen is not None:
-            self._seen.open -= 1
-            self._seen = None
+        """Records that the request has ended, with whatever outcome."""
+        if self._stats is not None:
+            self._stats.open_request_count -= 1
+            self._stats = None
 
-    def release_after(self, _: object) -> None:
-        """Releases the place when a task is done."""
+    def release_when_done(self, _: object) -> None:
+        """Releases the permit; a callback for a task that is done."""
         self.release()
 
 
 class LoadBalancer:
-    """Chooses upstreams by load, pace and recent failures.
+    """Chooses upstreams by load, latency and recent failures.
 
     Args:
-        view: The topology in force.
-        clock: Gives the steady time in seconds.
-        list_entries: Gives how many entries may be sending now.
-        name: This process's name, to share a cold upstream's bound.
-        overage: Times a cold upstream's rate that the bound allows.
-        slack: Requests a second that the bound allows beyond it.
-        default_cold_rate: Requests a second that a cold upstream bears whose service
-            is not configured; 0 for any number.
+        view: The topology in effect.
+        clock: Returns the monotonic time in seconds.
+        list_entries: Returns the names of the entries that may be sending now.
+        name: This process's name; decides its share of a cold upstream's rate limit.
+        cold_rate_factor: Factor applied to a cold upstream's rate to get its limit.
+        cold_rate_slack: Requests per second that are added to that limit.
+        default_cold_rate: Requests per second that a cold upstream can serve if its
+            service is not configured; 0 means no limit.
     """
 
     def __init__(
@@ -88,8 +101,8 @@
         *,
         list_entries: Callable[[], list[str]],
         name: str,
-        overage: float = 1.0,
-        slack: float = 0.0,
+        cold_rate_factor: float = 1.0,
+        cold_rate_slack: float = 0.0,
         default_cold_rate: float = 0.0,
     ) -> None:
         self.default_cold_rate = default_cold_rate
@@ -97,47 +110,51 @@
         self.clock = clock
         self.list_entries = list_entries
         self.name = name
-        self.overage = overage
-        self.slack = slack
-        self._observed: dict[UpstreamId, UpstreamStats] = {}
+        self.cold_rate_factor = cold_rate_factor
+        self.cold_rate_slack = cold_rate_slack
+        self._stats: dict[UpstreamId, UpstreamStats] = {}
 
     def get_stats(self, upstream: Upstream) -> UpstreamStats:
-        """Gives what was seen of an upstream's present incarnation."""
-        seen = self._observed.get(upstream.id)
-        if seen is None or seen.started_at_ms != upstream.started_at_ms:
-            seen = self._observed[upstream.id] = UpstreamStats(upstream.started_at_ms)
-        return seen
+        """Returns the statistics of an upstream's current incarnation."""
+        stats = self._stats.get(upstream.id)
+        if stats is None or stats.started_at_ms != upstream.started_at_ms:
+            stats = self._stats[upstream.id] = UpstreamStats(upstream.started_at_ms)
+        return stats
 
     def prune(self) -> None:
-        """Drops what was seen of upstreams that are gone."""
-        for name in list(self._observed):
-            if name not in self.view.upstreams and not self._observed[name].open:
-                del self._observed[name]
+        """Removes the statistics of upstreams that no longer exist."""
+        for name in list(self._stats):
+            if (
+                name not in self.view.upstreams
+                and not self._stats[name].open_request_count
+            ):
+                del self._stats[name]
 
     def pick(
         self,
         service: ServiceName,
         *,
         avoided: Collection[UpstreamId] = (),
-        allows: Callable[[Upstream], bool] | None = None,
+        is_eligible: Callable[[Upstream], bool] | None = None,
         preferred: UpstreamId | None = None,
     ) -> Upstream | None:
-        """Chooses the upstream that should be the fastest for one more request.
+        """Returns the upstream that is expected to serve one more request fastest.
 
         Args:
             service: The service.
-            avoided: Upstreams that are taken only if there is no other.
-            allows: Tells whether an upstream may be used at all.
-            preferred: Taken if it has a free place and is not slower than others.
+            avoided: Upstreams that are chosen only if there is no other.
+            is_eligible: Whether an upstream may be chosen at all.
+            preferred: Chosen if it has a free slot and is nearly as good as the best.
 
         Returns:
-            An upstream, or None if none may get the request now.
+            An upstream, or None if none may receive the request now.
         """
         now = self.clock()
         usable = [
             one
             for one in self.view.list_available_upstreams(service)
-            if (allows is None or allows(one)) and self.is_below_cold_limit(one, now)
+            if (is_eligible is None or is_eligible(one))
+            and self.is_below_cold_limit(one, now)
         ]
         if not usable:
             return None
@@ -145,38 +162,48 @@
         ranked = sorted(usable, key=lambda one: self._rank(one, now, median, avoided))
         best = ranked[0]
         for one in usable:
-            if one.id == preferred and self._is_near(one, best, now, avoided):
+            if one.id == preferred and self._is_close_to_best(one, best, now, avoided):
                 return one
         return best
 
-    def _is_near(
+    def _is_close_to_best(
         self, upstream: Upstream, best: Upstream, now: float, avoided: Collection[str]
     ) -> bool:
-        """Whether an upstream is hardly worse than the best one."""
-        seen = self.get_stats(upstream)
-        if seen.ejected_until > now or seen.refused_until > now:
+        """Whether an upstream is nearly as good a choice as the best one."""
+        stats = self.get_stats(upstream)
+        if stats.ejected_until > now or stats.refused_until > now:
             return False
         if upstream.id in avoided or not self.has_capacity(upstream):
             return False
-        pace, best_pace = seen.pace, self.get_stats(best).pace
-        if pace and best_pace and pace >= SLOW_RATIO * best_pace:
+        latency, best_latency = (
+            stats.average_latency,
+            self.get_stats(best).average_latency,
+        )
+        if latency and best_latency and latency >= SLOW_LATENCY_RATIO * best_latency:
             return False
-        further = self._estimate_load(upstream, now) - self._estimate_load(best, now)
-        return further <= NEAR_LOAD
+        extra_load = self._estimate_load(upstream, now) - self._estimate_load(best, now)
+        return extra_load <= MAX_EXTRA_LOAD
 
     def has_capacity(self, upstream: Upstream) -> bool:
-        """Whether an upstream seems to have a free place."""
+        """Whether an upstream is estimated to have a free slot."""
         return self._estimate_load(upstream, self.clock()) < upstream.slots
 
     def compute_median_latency(self, upstreams: Iterable[Upstream]) -> float | None:
-        """Finds the median pace of upstreams that have one."""
-        paces = sorted(
-            pace for one in upstreams if (pace := self.get_stats(one).pace) is not None
+        """Returns the median latency of the upstreams that have one, or None."""
+        latencies = sorted(
+            latency
+            for one in upstreams
+            if (latency := self.get_stats(one).average_latency) is not None
         )
-        return paces[(len(paces) - 1) // 2] if paces else None
+        return latencies[(len(latencies) - 1) // 2] if latencies else None
+
+    def is_slow(self, upstream: Upstream, latency: float) -> bool:
+        """Whether a latency is high compared with peers that have a free slot.
 
-    def is_slow(self, upstream: Upstream, pace: float) -> bool:
-        """Whether a pace at an upstream is slow beside its peers' free places."""
+        Args:
+            upstream: The upstream.
+            latency: Its latency in seconds.
+        """
         now = self.clock()
         peers = [
             one
@@ -186,10 +213,10 @@
             and self.has_capacity(one)
         ]
         median = self.compute_median_latency(peers)
-        return median is not None and pace > SLOW_RATIO * median
+        return median is not None and latency > SLOW_LATENCY_RATIO * median
 
     def is_ejected(self, upstream: Upstream) -> bool:
-        """Whether an upstream failed so recently that others are better."""
+        """Whether an upstream is ejected because of recent failures."""
         return self.get_stats(upstream).ejected_until > self.clock()
 
     def _rank(
@@ -199,99 +226,106 @@
         median: float | None,
         avoided: Collection[UpstreamId],
     ) -> tuple[int, float, int]:
-        seen = self.get_stats(upstream)
-        penalty = 2 * (upstream.id in avoided) + (seen.ejected_until > now)
-        penalty += seen.refused_until > now
-        pace = seen.pace if seen.pace is not None else median
-        slowness = max(1.0, pace / median) if pace and median else 1.0
+        stats = self.get_stats(upstream)
+        penalty = 2 * (upstream.id in avoided) + (stats.ejected_until > now)
+        penalty += stats.refused_until > now
+        latency = stats.average_latency if stats.average_latency is not None else median
+        slowness = max(1.0, latency / median) if latency and median else 1.0
         load = (self._estimate_load(upstream, now) + 1) / max(1, upstream.slots)
         tie = compute_rendezvous_score(self.name, upstream.id)
         return (penalty, round(load * slowness, 3), tie)
 
     def _estimate_load(self, upstream: Upstream, now: float) -> float:
-        seen = self.get_stats(upstream)
-        if seen.load is None or now - seen.load_at > LOAD_LIFETIME:
-            return seen.open
-        others = seen.load.running + seen.load.waiting - seen.own_at_load
-        return seen.open + max(0, others)
+        stats = self.get_stats(upstream)
+        if stats.load is None or now - stats.load_received_at > LOAD_REPORT_LIFETIME:
+            return stats.open_request_count
+        others = stats.load.running + stats.load.waiting - stats.own_requests_at_load
+        return stats.open_request_count + max(0, others)
 
     # Cold upstreams
 
     def is_below_cold_limit(self, upstream: Upstream, now: float) -> bool:
-        """Whether this process's share of a cold upstream's bound allows a start."""
+        """Whether this process's share of a cold upstream's limit allows a start."""
         rate = self._get_cold_rate(upstream)
         if not rate or not self.view.is_cold(upstream.id, now):
             return True
-        starts = self.get_stats(upstream).starts
-        while starts and starts[0] <= now - COLD_WINDOW:
-            starts.popleft()
-        return len(starts) < self._get_cold_share(upstream, rate)
+        start_times = self.get_stats(upstream).start_times
+        while start_times and start_times[0] <= now - COLD_WINDOW:
+            start_times.popleft()
+        return len(start_times) < self._get_cold_limit(upstream, rate)
 
     def _get_cold_rate(self, upstream: Upstream) -> float:
         configuration = self.view.configuration
         service = configuration and configuration.services.get(upstream.service)
         return service.cold_rate if service else self.default_cold_rate
 
-    def _get_cold_share(self, upstream: Upstream, rate: float) -> int:
+    def _get_cold_limit(self, upstream: Upstream, rate: float) -> int:
         entries = self.list_entries()
-        bound = int(rate * self.overage + self.slack)
-        share = bound // max(1, len(entries))
+        limit = int(rate * self.cold_rate_factor + self.cold_rate_slack)
+        share = limit // max(1, len(entries))
         if share:
             return share
         ranked = sorted(
             entries, key=lambda name: compute_rendezvous_score(upstream.id, name)
         )
-        return int(self.name in ranked[:bound])
+        return int(self.name in ranked[:limit])
 
-    # What is seen
+    # Observations
 
     def acquire_permit(self, upstream: Upstream) -> "Permit":
-        """Counts a request that is sent now, until its place is released."""
-        seen = self.get_stats(upstream)
-        seen.open += 1
+        """Counts a request that is sent now, until its permit is released."""
+        stats = self.get_stats(upstream)
+        stats.open_request_count += 1
         if self._get_cold_rate(upstream):
             now = self.clock()
-            starts = seen.starts
-            while starts and starts[0] <= now - COLD_WINDOW:
-                starts.popleft()
-            starts.append(now)
-        return Permit(seen)
+            start_times = stats.start_times
+            while start_times and start_times[0] <= now - COLD_WINDOW:
+                start_times.popleft()
+            start_times.append(now)
+        return Permit(stats)
 
     def record_load(self, upstream: Upstream, load: UpstreamLoad | None) -> None:
-        """Notes what an upstream says of its load."""
+        """Records the load that an upstream reported."""
         if load is not None:
-            seen = self.get_stats(upstream)
-            seen.load, seen.load_at = load, self.clock()
-            seen.own_at_load = seen.open
+            stats = self.get_stats(upstream)
+            stats.load, stats.load_received_at = load, self.clock()
+            stats.own_requests_at_load = stats.open_request_count
 
     def record_activity(self, upstream: Upstream) -> None:
-        """Notes that an upstream sent something."""
-        self.get_stats(upstream).active_at = self.clock()
+        """Records that an upstream sent something."""
+        self.get_stats(upstream).last_active_at = self.clock()
 
     def is_active(self, upstream: Upstream) -> bool:
-        """Whether an upstream sent something to this process just now."""
-        return self.clock() - self.get_stats(upstream).active_at < ACTIVE_TIME
+        """Whether an upstream sent something to this process very recently."""
+        return (
+            self.clock() - self.get_stats(upstream).last_active_at < ACTIVITY_LIFETIME
+        )
 
     def record_latency(self, upstream: Upstream, seconds: float) -> None:
-        """Notes how long a unit of work took."""
-        seen = self.get_stats(upstream)
-        if seen.pace is None:
-            seen.pace = seconds
+        """Records the seconds that a unit of work took."""
+        stats = self.get_stats(upstream)
+        if stats.average_latency is None:
+            stats.average_latency = seconds
         else:
-            seen.pace += PACE_WEIGHT * (seconds - seen.pace)
+            stats.average_latency += LATENCY_WEIGHT * (seconds - stats.average_latency)
 
     def record_success(self, upstream: Upstream) -> None:
-        """Notes a whole answer."""
-        seen = self.get_stats(upstream)
-        seen.failures, seen.ejected_until = 0, 0.0
+        """Records a complete response."""
+        stats = self.get_stats(upstream)
+        stats.consecutive_failures, stats.ejected_until = 0, 0.0
 
     def record_failure(self, upstream: Upstream) -> None:
-        """Notes an answer that failed or never came."""
-        seen = self.get_stats(upstream)
-        seen.failures = min(seen.failures + 1, 8)
-        seconds = FIRST_EJECTION * 2 ** (seen.failures - 1)
-        seen.ejected_until = self.clock() + min(LONGEST_EJECTION, seconds)
+        """Records a response that failed or did not arrive."""
+        stats = self.get_stats(upstream)
+        stats.consecutive_failures = min(stats.consecutive_failures + 1, 8)
+        seconds = BASE_EJECTION_TIME * 2 ** (stats.consecutive_failures - 1)
+        stats.ejected_until = self.clock() + min(MAX_EJECTION_TIME, seconds)
 
     def record_refusal(self, upstream: Upstream, seconds: float) -> None:
-        """Notes that an upstream had no place."""
+        """Records that an upstream had no free slot.
+
+        Args:
+            upstream: The upstream.
+            seconds: For how long it is avoided.
+        """
         self.get_stats(upstream).refused_until = self.clock() + seconds
--- a/buckthornstile/gateway/_metrics.py
+++ b/buckthornstile/gateway/_metrics.py
@@ -1,4 +1,4 @@
-"""What a gateway serves to scrapers."""
+"""Metrics of a gateway, as scrapers read them."""
 
 from collections.abc import Mapping
 
@@ -27,37 +27,37 @@
         self._histograms = Histograms()
 
     def record_call(self, account: AccountId, seconds: float) -> None:
-        """Records the time of a call until its answer."""
+        """Records the seconds that a call took until its response."""
         self._record(
             HistogramMetric.REQUEST_DURATION, seconds, account, RequestClass.INTERACTIVE
         )
 
     def record_item(self, account: AccountId, seconds: float) -> None:
-        """Records the time of an item from its job's submission to its result."""
+        """Records the seconds from a job's submission to the result of one item."""
         self._record(
             HistogramMetric.REQUEST_DURATION, seconds, account, RequestClass.TRAINER
         )
 
-    def record_place(self, account: AccountId, seconds: float) -> None:
-        """Records how long an item waited for a place at an engine."""
+    def record_queue_wait(self, account: AccountId, seconds: float) -> None:
+        """Records the seconds that an item waited for a free slot at an engine."""
         self._record(HistogramMetric.QUEUE_WAIT, seconds, account, RequestClass.TRAINER)
 
     def render(self, counters: Counters, gauges: Mapping[str, float]) -> str:
-        """Renders all figures as text."""
-        table = Gauges()
+        """Returns all metrics as text."""
+        gauge_set = Gauges()
         for name, value in gauges.items():
-            table.set(GaugeName(name), value)
+            gauge_set.set(GaugeName(name), value)
         return render_metrics(
-            counters=counters, gauges=table, histograms=self._histograms
+            counters=counters, gauges=gauge_set, histograms=self._histograms
         )
 
     def _record(
         self,
-        measure: HistogramMetric,
+        metric: HistogramMetric,
         seconds: float,
         account: AccountId,
         request_class: RequestClass,
     ) -> None:
         self._histograms.record(
-            measure, seconds, account=account, request_class=request_class
+            metric, seconds, account=account, request_class=request_class
         )
--- a/buckthornstile/gateway/_partition_assignment.py
+++ b/buckthornstile/gateway/_partition_assignment.py
@@ -1,7 +1,8 @@
-"""Which entries follow which partitions of batch jobs.
+"""Assignment of the partitions of batch jobs to entries.
 
-A partition's jobs are run and read by the few entries that follow it; all others pass
-requests on to these. So what a result costs does not grow with the entries.
+Only the few entries that are assigned to a partition run and read its jobs; the others
+forward requests to them. So the cost of a result does not grow with the number of
+entries.
 """
 
 from collections.abc import Callable
@@ -11,18 +12,21 @@
 from buckthornstile.routing import compute_rendezvous_score
 
 ASSIGNED_PER_PARTITION = 6
-"""Entries that follow a partition: over the failure domains, one is left after the
-loss of any and of some more."""
+"""Number of entries assigned to a partition. Spread over the failure domains, at least
+one is left after the loss of any domain and of some more entries."""
 ASSIGN_ALL_MAX_ENTRIES = 12
-"""Entries up to which each follows every partition: passing on would save little."""
+"""Number of entries up to which each is assigned to every partition, as forwarding
+would save little."""
 
 
 class PartitionAssignment:
-    """Chooses followers by rendezvous, over different failure domains first.
+    """Assigns processes to partitions by rendezvous hashing.
+
+    Each partition's processes are spread over as many failure domains as possible.
 
     Args:
         name: This process's name.
-        presence: Which processes live.
+        presence: The processes that are live.
     """
 
     def __init__(self, name: ProcessName, presence: PresenceTable) -> None:
@@ -30,17 +34,17 @@
         self.presence = presence
 
     def list_assigned(self, part: int) -> list[ProcessName]:
-        """Lists the living followers of a partition, the preferred ones first."""
+        """Returns the live processes assigned to a partition, preferred ones first."""
         live = self.presence.list_live()
         is_small = self.presence.count_vms() <= ASSIGN_ALL_MAX_ENTRIES
         count = len(live) if is_small else ASSIGNED_PER_PARTITION
         return assign_partition(part, live, self.presence.get_failure_domain, count)
 
     def is_assigned(self, part: int) -> bool:
-        """Whether this process is to follow a partition."""
+        """Whether this process is assigned to a partition."""
         if self.presence.count_vms() <= ASSIGN_ALL_MAX_ENTRIES:
             return True
-        # Its own records may not have been read back yet.
+        # The table may not hold this process's own record yet.
         live = {*self.presence.list_live(), self.name}
         get_failure_domain = self.presence.get_failure_domain
         chosen = assign_partition(
@@ -55,27 +59,27 @@
     get_failure_domain: Callable[[ProcessName], str],
     count: int,
 ) -> list[ProcessName]:
-    """Chooses the followers of a partition among living processes.
+    """Returns the live processes that are assigned to a partition.
 
     Args:
         part: The partition.
-        live: The living processes.
-        get_failure_domain: Gives a process's failure domain.
-        count: How many to choose.
+        live: The live processes.
+        get_failure_domain: Returns a process's failure domain.
+        count: Number of processes to assign.
 
     Example:
-        >>> zones = {"a1": "a", "a2": "a", "b1": "b"}
-        >>> chosen = assign_partition(3, ["a1", "a2", "b1"], zones.get, 2)
-        >>> sorted(zones[name] for name in chosen)
+        >>> domains = {"a1": "a", "a2": "a", "b1": "b"}
+        >>> chosen = assign_partition(3, ["a1", "a2", "b1"], domains.get, 2)
+        >>> sorted(domains[name] for name in chosen)
         ['a', 'b']
     """
     ranked = sorted(
         live, key=lambda name: (-compute_rendezvous_score(f"part {part}", name), name)
     )
-    taken: dict[str, int] = {}
-    rounds: list[tuple[int, int, ProcessName]] = []
-    for place, name in enumerate(ranked):
-        zone = get_failure_domain(name)
-        rounds.append((taken.get(zone, 0), place, name))
-        taken[zone] = taken.get(zone, 0) + 1
-    return [name for _, _, name in sorted(rounds)[:count]]
+    count_by_domain: dict[str, int] = {}
+    by_round: list[tuple[int, int, ProcessName]] = []
+    for rank, name in enumerate(ranked):
+        failure_domain = get_failure_domain(name)
+        by_round.append((count_by_domain.get(failure_domain, 0), rank, name))
+        count_by_domain[failure_domain] = count_by_domain.get(failure_domain, 0) + 1
+    return [name for _, _, name in sorted(by_round)[:count]]
--- a/buckthornstile/gateway/_peer_client.py
+++ b/buckthornstile/gateway/_peer_client.py
@@ -1,4 +1,4 @@
-"""Passes requests on to entries that follow their partition."""
+"""Forwards requests to the entries that are assigned to their partition."""
 
 import asyncio
 
@@ -10,20 +10,22 @@
 from buckthornstile.messages import ClientRequest, Response
 from buckthornstile.platform import decode_forwarded_response, encode_forwarded_request
 
-FORWARD_TIME = 0.6
-"""Seconds for a peer to answer, beyond what the request asks to be held."""
-MAX_PEERS = 3
-"""Peers that are asked one after the other."""
+FORWARD_TIMEOUT = 0.6
+"""Seconds that a peer may take to respond, in addition to the wait that the request
+asks for."""
+MAX_PEER_ATTEMPTS = 3
+"""Number of peers that are tried, one after the other."""
 RETRY_AFTER_SECONDS = 0.1
+"""Seconds after which a client may retry a request that no peer responded to."""
 
 
 class PeerClient:
-    """Passes clients' requests about jobs on.
+    """Forwards clients' requests about jobs to other entries.
 
     Args:
         name: This process's name.
-        assignment: Which entries follow which partitions.
-        presence: Where they listen for each other.
+        assignment: The assignment of partitions to entries.
+        presence: The addresses where the entries listen for each other.
         pool: Connections to them.
     """
 
@@ -40,25 +42,25 @@
         self.pool = pool
 
     async def forward(self, request: ClientRequest, part: int) -> Response:
-        """Passes a request on until a peer answers it.
+        """Forwards a request to one peer after another until one responds.
 
         Args:
             request: A request that may be repeated.
             part: The partition that it concerns.
 
         Raises:
-            BuckthornstileError: No peer gave an answer.
+            BuckthornstileError: No peer returned a response.
         """
         peers = [
             name for name in self.assignment.list_assigned(part) if name != self.name
         ]
-        for peer in peers[:MAX_PEERS]:
+        for peer in peers[:MAX_PEER_ATTEMPTS]:
             address = self.presence.get_address(peer)
             if not address:
                 continue
             try:
-                async with asyncio.timeout(FORWARD_TIME + request.wait):
-                    answer = await self.pool.send(
+                async with asyncio.timeout(FORWARD_TIMEOUT + request.wait):
+                    response = await self.pool.send(
                         address, encode_forwarded_request(request)
                     )
             except (TimeoutError, BuckthornstileError) as error:
@@ -67,9 +69,10 @@
                 )
                 self.pool.close_idle(address)
                 continue
-            return decode_forwarded_response(answer)
+            return decode_forwarded_response(response)
         raise BuckthornstileError(
             ErrorCode.PLATFORM_UNAVAILABLE,
-            f"none of {len(peers[:MAX_PEERS])} entries that know the job answered",
+            f"none of {len(peers[:MAX_PEER_ATTEMPTS])} entries assigned to the job's "
+            "partition responded",
             retry_after=RETRY_AFTER_SECONDS,
         )
--- a/buckthornstile/gateway/_store_proxy.py
+++ b/buckthornstile/gateway/_store_proxy.py
@@ -1,6 +1,6 @@
-"""Chooses the way to the store: the direct one, or through another entry.
+"""Selects the path to the store: the direct one, or through another entry as a proxy.
 
-The store may turn single VMs away, or be cut off from them, while it serves others.
+The store may refuse single VMs, or be unreachable from them, while it serves others.
 """
 
 import asyncio
@@ -17,24 +17,25 @@
 from buckthornstile.messages import ClientRequest, Response
 from buckthornstile.platform import StoreClient
 
-LOST_TIME = 0.6
-"""Seconds without a successful call, after a failed one, until the direct way is
-taken as lost: a held read and a record of this process take less."""
-PROBE_PERIOD = 0.4
-"""Seconds between two looks whether the direct way works again."""
-AVOID_TIME = 1.0
-"""Seconds for which an entry that could not pass a call on is not asked again."""
+DIRECT_PATH_LOSS_TIME = 0.6
+"""Seconds without a successful direct call after which a failed one marks the direct
+path as lost. Both a long poll and the interval between two presence records of this
+process are shorter."""
+PROBE_INTERVAL = 0.4
+"""Seconds between two checks of whether the direct path works again."""
+PROXY_BACKOFF_TIME = 1.0
+"""Seconds for which an entry that failed to forward a call is not used as a proxy."""
 RETRY_AFTER_SECONDS = 0.1
-"""Seconds after which a call that was not passed on may come again."""
+"""Seconds after which a call that was not forwarded may be retried."""
 
 
 class StoreProxySelector:
-    """Keeps track of the direct way, and of entries that may pass calls on.
+    """Tracks whether the direct path works, and which entries may serve as proxies.
 
     Args:
-        clock: Gives the time in seconds; it must go on while suspended.
-        list_proxies: Gives the addresses of the other entries.
-        random_source: For the choice between them.
+        clock: Returns the time in seconds; it must advance while the VM is suspended.
+        list_proxies: Returns the addresses of the other entries.
+        random_source: Source of randomness for the choice between them.
 
     Example:
         >>> StoreProxySelector(lambda: 0.0, lambda: [], random.Random(7)).select_proxy()
@@ -55,21 +56,25 @@
         self._avoided_until: dict[str, float] = {}
 
     def select_proxy(self) -> str:
-        """Gives the address of an entry to pass a call on, or "" for the direct way."""
+        """Returns the address of the proxy to use, or "" for the direct path."""
         if not self.is_direct_path_lost:
             return ""
         now = self.clock()
-        relays = [
+        proxies = [
             address
             for address in self.list_proxies()
             if self._avoided_until.get(address, now) <= now
         ]
-        return self.random_source.choice(relays) if relays else ""
+        return self.random_source.choice(proxies) if proxies else ""
 
-    def record_success(self, relay: str) -> None:
-        """Notes a call that the store answered."""
-        if relay:
-            self._avoided_until.pop(relay, None)
+    def record_success(self, proxy: str) -> None:
+        """Records a call that the store responded to.
+
+        Args:
+            proxy: Address of the proxy, or "" for the direct path.
+        """
+        if proxy:
+            self._avoided_until.pop(proxy, None)
             return
         self._succeeded_at = self.clock()
         if self.is_direct_path_lost:
@@ -77,36 +82,43 @@
             self._avoided_until.clear()
             log_event("store.path_regained")
 
-    def record_failure(self, relay: str) -> None:
-        """Notes a call that the store did not take, or that had no answer."""
+    def record_failure(self, proxy: str) -> None:
+        """Records a call that the store did not accept or did not respond to.
+
+        Args:
+            proxy: Address of the proxy, or "" for the direct path.
+        """
         now = self.clock()
-        if relay:
-            self._avoided_until[relay] = now + AVOID_TIME
-        elif not self.is_direct_path_lost and now - self._succeeded_at > LOST_TIME:
+        if proxy:
+            self._avoided_until[proxy] = now + PROXY_BACKOFF_TIME
+        elif (
+            not self.is_direct_path_lost
+            and now - self._succeeded_at > DIRECT_PATH_LOSS_TIME
+        ):
             self.is_direct_path_lost = True
             log_event("store.path_lost", away=now - self._succeeded_at)
 
     async def run_probes(self, probe: Callable[[], Awaitable[None]]) -> None:
-        """Tries the direct way while it is lost, until cancelled.
+        """Tries the direct path while it is lost, until cancelled.
 
         Args:
-            probe: Makes a call the direct way, of which this path is told.
+            probe: Makes a direct call to the store and records its outcome here.
         """
         while True:
-            await asyncio.sleep(PROBE_PERIOD)
+            await asyncio.sleep(PROBE_INTERVAL)
             if self.is_direct_path_lost:
                 try:
                     await probe()
                 except PlatformUnavailableError:
-                    continue  # already noted as a failure
+                    continue  # The store client has already recorded the failure.
 
 
 class StoreProxy:
-    """Passes calls to the store on for entries that cannot reach it.
+    """Forwards calls to the store for entries that cannot reach it.
 
     Args:
         store: The store.
-        selector: This process's own way to it.
+        selector: Selects this process's own path to the store.
     """
 
     def __init__(self, store: StoreClient, selector: StoreProxySelector) -> None:
@@ -114,20 +126,20 @@
         self.selector = selector
 
     async def handle(self, request: ClientRequest) -> Response:
-        """Passes one call on, and gives the store's answer.
+        """Forwards one call and returns the store's response.
 
         Raises:
-            BuckthornstileError: The store is out of reach here too; the verdict is
-                NOT_RUN only if the call had no effect and will have none.
+            BuckthornstileError: This process cannot reach the store either; the verdict
+                is NOT_RUN only if the call had no effect and will have none.
         """
         if self.selector.is_direct_path_lost:
             raise BuckthornstileError(
                 ErrorCode.PLATFORM_UNAVAILABLE,
-                "the store is out of reach here too",
+                "this process cannot reach the store either",
                 retry_after=RETRY_AFTER_SECONDS,
             )
         try:
-            answer = await self.store.forward(request)
+            response = await self.store.forward(request)
         except PlatformUnavailableError as error:
             verdict = Verdict.NOT_RUN
             if error.may_have_taken_effect:
@@ -135,4 +147,4 @@
             raise BuckthornstileError(
                 ErrorCode.PLATFORM_UNAVAILABLE, error.message, verdict=verdict
             ) from error
-        return Response(answer.status, bytes(answer.body))
+        return Response(response.status, bytes(response.body))
--- a/buckthornstile/gateway/_stream_proxy.py
+++ b/buckthornstile/gateway/_stream_proxy.py
@@ -1,4 +1,4 @@
-"""Relays the events of a stream to its client as they arrive."""
+"""Proxies the events of a stream to its client as they arrive."""
 
 import asyncio
 from collections.abc import AsyncGenerator, Awaitable, Callable
@@ -15,7 +15,7 @@
     REFUSAL_PAUSE,
     RETRY_AFTER_SECONDS,
     CallSender,
-    is_too_old,
+    is_stale_configuration_error,
 )
 from buckthornstile.gateway._load_balancer import LoadBalancer, Permit
 from buckthornstile.http_client import ConnectionPool, HTTPResponse
@@ -36,17 +36,18 @@
 )
 from buckthornstile.topology import Upstream
 
-SILENCE = 1.2
-"""Seconds without an event after which a resumable stream goes on elsewhere."""
+STREAM_IDLE_TIMEOUT = 1.2
+"""Seconds without an event after which a resumable stream moves to another upstream."""
 BUFFERED_EVENTS = 64
-"""Events that wait for a slow client before its upstream is held up."""
+"""Number of events that are buffered before reading from the upstream pauses, if the
+client is slow."""
 
 
 class StreamProxy:
-    """Opens streams at upstreams.
+    """Opens streams at upstreams and proxies them to clients.
 
     Args:
-        sender: Chooses services and counts runs.
+        sender: Chooses services and is notified of requests that were run.
         balancer: Chooses upstreams.
         pool: Connections to them.
     """
@@ -59,16 +60,16 @@
         self.pool = pool
 
     async def open(self, call: RoutedCall) -> Response | StreamingResponse:
-        """Sends a request and gives its answer once its head has arrived.
+        """Sends a request and returns the response once its head has arrived.
 
-        A stream that breaks goes on at another upstream, under the head of its
-        first one, if its route allows that; else it ends with an error.
+        If a stream breaks and its route allows it to be resumed, it goes on at another
+        upstream, under the head of the first one. Otherwise it ends with an error.
 
         Raises:
-            BuckthornstileError: There is no answer; the verdict is NOT_RUN only if
-                no upstream has run the request or will.
+            BuckthornstileError: No upstream returned a response; the verdict is NOT_RUN
+                only if no upstream has run the request or will run it.
         """
-        return await _Relaying(self, call).open()
+        return await _ProxiedStream(self, call).open()
 
 
 class _Run:
@@ -76,70 +77,81 @@
 
     def __init__(
         self,
-        relay: StreamProxy,
+        proxy: StreamProxy,
         upstream: Upstream,
         call: UpstreamCall,
-        place: Permit,
-        check: Callable[[], None] | None,
+        permit: Permit,
+        before_send: Callable[[], None] | None,
     ) -> None:
-        self.relay = relay
+        self.proxy = proxy
         self.upstream = upstream
-        self.place = place
+        self.permit = permit
         self.head: ResponseHead | None = None
-        self.reader: UpstreamEventParser | None = None
+        self.parser: UpstreamEventParser | None = None
         self.events: asyncio.Queue[tuple[StreamEvent, bytes]] = asyncio.Queue(
             BUFFERED_EVENTS
         )
-        self.answered = asyncio.Event()
-        self.malformed = False
+        self.head_or_end = asyncio.Event()
+        self.is_malformed = False
         self.task = asyncio.create_task(
-            relay.pool.send(
+            proxy.pool.send(
                 upstream.address,
                 encode_upstream_call(call),
-                on_headers=self._take_head,
-                on_data=self._take_data,
+                on_headers=self._on_headers,
+                on_data=self._on_data,
                 new_connection=True,
-                before_send=check,
+                before_send=before_send,
             )
         )
-        self.task.add_done_callback(self._note_end)
+        self.task.add_done_callback(self._on_done)
 
     async def wait_for_head(self, deadline: float) -> ResponseHead | None:
-        """Waits for the head; None if the run ended or time passed without one."""
+        """Returns the head, or None if the run ended or the deadline passed before it.
+
+        Args:
+            deadline: Deadline in the event loop's time, in seconds.
+        """
         try:
             async with asyncio.timeout_at(deadline):
-                await self.answered.wait()
+                await self.head_or_end.wait()
         except TimeoutError:
             return None
         return self.head
 
     async def next_event(self, deadline: float) -> tuple[StreamEvent, bytes] | None:
-        """Waits for the next event; None if the stream is over or time passed."""
+        """Returns the next event, or None if the stream ended or the deadline passed.
+
+        Args:
+            deadline: Deadline in the event loop's time, in seconds.
+
+        Returns:
+            The event with the block of bytes that encodes it, or None.
+        """
         if self.events.empty() and self.task.done():
             return None
-        getting = asyncio.create_task(self.events.get())
-        left = max(0.0, deadline - asyncio.get_running_loop().time())
+        get_task = asyncio.create_task(self.events.get())
+        remaining = max(0.0, deadline - asyncio.get_running_loop().time())
         try:
             await asyncio.wait(
-                {getting, self.task},
-                timeout=left,
+                {get_task, self.task},
+                timeout=remaining,
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            if getting.done():
-                return getting.result()
+            if get_task.done():
+                return get_task.result()
         finally:
-            getting.cancel()
+            get_task.cancel()
         return self.events.get_nowait() if not self.events.empty() else None
 
     def is_complete(self) -> bool:
-        """Whether the upstream ended the stream cleanly."""
-        if not self.task.done() or self.task.cancelled() or self.malformed:
+        """Whether the upstream ended the stream cleanly, between two events."""
+        if not self.task.done() or self.task.cancelled() or self.is_malformed:
             return False
-        is_between = self.reader is not None and self.reader.is_between_events()
+        is_between = self.parser is not None and self.parser.is_between_events()
         return self.task.exception() is None and is_between
 
-    def find_error(self) -> BuckthornstileError | None:
-        """The error with which the run ended, if it did."""
+    def get_error(self) -> BuckthornstileError | None:
+        """Returns the error with which the run ended, or None."""
         if not self.task.done() or self.task.cancelled():
             return None
         error = self.task.exception()
@@ -148,76 +160,76 @@
         raise error
 
     async def cancel(self) -> None:
-        """Closes the upstream's connection if the run is not over."""
+        """Closes the upstream's connection if the run has not ended."""
         self.task.cancel()
         await asyncio.wait({self.task})
 
-    def _take_head(self, answer: HTTPResponse) -> None:
-        self.head = decode_response_head(answer)
-        self.relay.balancer.record_load(self.upstream, self.head.load)
-        self.answered.set()
+    def _on_headers(self, response: HTTPResponse) -> None:
+        self.head = decode_response_head(response)
+        self.proxy.balancer.record_load(self.upstream, self.head.load)
+        self.head_or_end.set()
 
-    def _take_data(self, chunk: bytes) -> Awaitable[None] | None:
-        if self.head is None or self.malformed:
+    def _on_data(self, chunk: bytes) -> Awaitable[None] | None:
+        if self.head is None or self.is_malformed:
             return None
-        if self.reader is None:
-            self.reader = UpstreamEventParser(self.head.version or 0)
+        if self.parser is None:
+            self.parser = UpstreamEventParser(self.head.version or 0)
         try:
-            events = self.reader.feed(chunk)
+            events = self.parser.feed(chunk)
         except ValueError:
-            self.malformed = True
+            self.is_malformed = True
             return None
-        return self._hand_over(events) if events else None
+        return self._enqueue(events) if events else None
 
-    async def _hand_over(self, events: list[tuple[StreamEvent, bytes]]) -> None:
+    async def _enqueue(self, events: list[tuple[StreamEvent, bytes]]) -> None:
         for event in events:
             await self.events.put(event)
 
-    def _note_end(self, _: object) -> None:
-        self.place.release()
-        self.answered.set()
+    def _on_done(self, _: object) -> None:
+        self.permit.release()
+        self.head_or_end.set()
 
 
-class _Relaying:
-    """All runs of one request."""
+class _ProxiedStream:
+    """One request and all its runs."""
 
-    def __init__(self, relay: StreamProxy, call: RoutedCall) -> None:
-        self.relay = relay
+    def __init__(self, proxy: StreamProxy, call: RoutedCall) -> None:
+        self.proxy = proxy
         self.call = call
         self.route = call.route
-        self.service: ServiceName = relay.sender.choose_service(call.route)
+        self.service: ServiceName = proxy.sender.choose_service(call.route)
         self.tried: list[UpstreamId] = []
-        self.runs = 0
-        self.refusals = 0
+        self.run_count = 0
+        self.refusal_count = 0
         self.may_have_run = False
-        self.last_event = call.request.last_event_id
+        self.last_event_id = call.request.last_event_id
         self.version: int | None = None
-        self.is_counted = False
+        self.is_reported = False
         self.started_at = asyncio.get_running_loop().time()
 
     async def open(self) -> Response | StreamingResponse:
         while True:
             run = self._start()
-            handed_over = False
+            is_proxied = False
             try:
-                head = await run.wait_for_head(self._get_patience())
+                head = await run.wait_for_head(self._get_idle_deadline())
                 if head is None:
-                    self._note_failure(run)
+                    self._record_failure(run)
                 elif head.is_refusal:
-                    self._note_refusal(run, head)
+                    self._record_refusal(run, head)
                 elif head.status != 200:
-                    answer = await self._read_whole(run)
-                    return Response(head.status, bytes(answer.body), head.headers)
+                    response = await self._read_complete(run)
+                    return Response(head.status, bytes(response.body), head.headers)
                 elif head.has_content_encoding or not head.signature:
-                    self._note_failure(run)
+                    self._record_failure(run)
                 else:
                     self.version = head.version
-                    chunks = self._relay_events(run)
+                    chunks = self._proxy_events(run)
                     await anext(chunks)
-                    handed_over = True
+                    is_proxied = True
                     return StreamingResponse(200, head.headers, chunks)
             finally:
-                if not handed_over:
+                if not is_proxied:
                     await run.cancel()
 
     def _start(self) -> _Run:
@@ -226,22 +238,27 @@
         Raises:
             BuckthornstileError: No further run is allowed or possible.
         """
-        loop, balancer = asyncio.get_running_loop(), self.relay.balancer
+        loop, balancer = asyncio.get_running_loop(), self.proxy.balancer
         if loop.time() >= self.call.deadline:
-            raise self._make_error(ErrorCode.DEADLINE_PASSED, "no answer in time")
-        may_run = self.runs < max(1, self.route.max_attempts)
+            raise self._make_error(
+                ErrorCode.DEADLINE_PASSED, "no upstream responded before the deadline"
+            )
+        may_run = self.run_count < max(1, self.route.max_attempts)
         if self.may_have_run and not (self.route.is_resumable and may_run):
-            raise self._make_error(ErrorCode.ANSWER_TRUNCATED, "the stream broke off")
+            raise self._make_error(
+                ErrorCode.ANSWER_TRUNCATED,
+                "the stream ended early and cannot be resumed",
+            )
         upstream = None
-        if may_run and self.refusals < MAX_REFUSALS:
+        if may_run and self.refusal_count < MAX_REFUSALS:
             upstream = balancer.pick(self.service, avoided=self.tried)
         if upstream is None:
             raise self._make_error(
                 ErrorCode.NO_UPSTREAM,
-                f"no upstream of service {self.service!r} took the request",
+                f"no upstream of service {self.service!r} accepted the request",
             )
         self.tried.append(upstream.id)
-        self.runs += 1
+        self.run_count += 1
         request = self.call.request
         call = UpstreamCall(
             id=request.id,
@@ -253,92 +270,93 @@
             upstream=upstream.id,
             remaining_time=self.call.deadline - loop.time(),
             account=self.call.account,
-            last_event_id=self.last_event,
+            last_event_id=self.last_event_id,
         )
-        place = balancer.acquire_permit(upstream)
-        return _Run(self.relay, upstream, call, place, self.call.before_send)
+        permit = balancer.acquire_permit(upstream)
+        return _Run(self.proxy, upstream, call, permit, self.call.before_send)
 
-    async def _read_whole(self, run: _Run) -> HTTPResponse:
+    async def _read_complete(self, run: _Run) -> HTTPResponse:
         self.may_have_run = True
         try:
             async with asyncio.timeout_at(self.call.deadline):
                 return await run.task
         except TimeoutError as error:
             raise self._make_error(
-                ErrorCode.DEADLINE_PASSED, "no whole answer in time"
+                ErrorCode.DEADLINE_PASSED, "no complete response before the deadline"
             ) from error
 
-    def _note_failure(self, run: _Run) -> None:
-        error = run.find_error()
-        if error is not None and is_too_old(error):
+    def _record_failure(self, run: _Run) -> None:
+        error = run.get_error()
+        if error is not None and is_stale_configuration_error(error):
             raise self._make_error(error.code, error.message)
-        self.relay.balancer.record_failure(run.upstream)
+        self.proxy.balancer.record_failure(run.upstream)
         if error is not None and error.verdict is Verdict.NOT_RUN:
-            self.runs -= 1
-            self.refusals += 1
+            self.run_count -= 1
+            self.refusal_count += 1
         else:
             self.may_have_run = True
         log_event(
             "stream.run_failed",
             request=self.call.request.id,
             upstream=run.upstream.id,
-            last_event=self.last_event,
+            last_event=self.last_event_id,
             reason=error or "silent",
         )
 
-    def _note_refusal(self, run: _Run, head: ResponseHead) -> None:
-        self.runs -= 1
-        self.refusals += 1
+    def _record_refusal(self, run: _Run, head: ResponseHead) -> None:
+        self.run_count -= 1
+        self.refusal_count += 1
         if head.other_upstream is not None:
-            self.relay.balancer.record_failure(run.upstream)
+            self.proxy.balancer.record_failure(run.upstream)
         else:
-            self.relay.balancer.record_refusal(run.upstream, REFUSAL_PAUSE)
+            self.proxy.balancer.record_refusal(run.upstream, REFUSAL_PAUSE)
 
-    async def _relay_events(self, run: _Run) -> AsyncGenerator[bytes, None]:
+    async def _proxy_events(self, run: _Run) -> AsyncGenerator[bytes, None]:
         try:
-            # A generator that has not begun runs no clean-up when it is closed.
+            # Closing a generator that was never started skips its finally block, so
+            # the caller takes this first, empty chunk.
             yield b""
             while True:
-                async for chunk in self._relay_run(run):
+                async for chunk in self._proxy_run(run):
                     yield chunk
                 if run.is_complete():
-                    self.relay.balancer.record_success(run.upstream)
+                    self.proxy.balancer.record_success(run.upstream)
                     return
                 await run.cancel()
-                self._note_failure(run)
+                self._record_failure(run)
                 run = await self._resume()
         finally:
             await run.cancel()
 
-    async def _relay_run(self, run: _Run) -> AsyncGenerator[bytes, None]:
+    async def _proxy_run(self, run: _Run) -> AsyncGenerator[bytes, None]:
         while True:
-            found = await run.next_event(self._get_patience())
-            if found is None:
+            next_item = await run.next_event(self._get_idle_deadline())
+            if next_item is None:
                 return
-            event, block = found
-            if self.last_event is not None and event.id != self.last_event + 1:
-                run.malformed = True
+            event, block = next_item
+            if self.last_event_id is not None and event.id != self.last_event_id + 1:
+                run.is_malformed = True
                 return
-            self._count_run()
+            self._report_executed()
             has_new_version = self.version not in (None, event.version)
-            self.last_event, self.version = event.id, event.version
+            self.last_event_id, self.version = event.id, event.version
             yield encode_event(block, event.version if has_new_version else None)
 
     async def _resume(self) -> _Run:
-        """Starts a run that goes on after the last event.
+        """Starts a run that continues after the last event.
 
         Raises:
-            BuckthornstileError: The stream cannot go on.
+            BuckthornstileError: The stream cannot be resumed.
         """
         while True:
             run = self._start()
             head = None
             try:
-                head = await run.wait_for_head(self._get_patience())
+                head = await run.wait_for_head(self._get_idle_deadline())
                 if head is not None and head.is_refusal:
-                    self._note_refusal(run, head)
+                    self._record_refusal(run, head)
                 elif head is None or head.status != 200 or not head.signature:
-                    self._note_failure(run)
+                    self._record_failure(run)
                 else:
                     return run
             except BaseException:
@@ -346,17 +364,19 @@
                 raise
             await run.cancel()
 
-    def _get_patience(self) -> float:
-        """Until when the present run may be silent, in loop time."""
+    def _get_idle_deadline(self) -> float:
+        """Returns the time until which the current run may be silent, in loop time."""
         if not self.route.is_resumable:
             return self.call.deadline
-        return min(self.call.deadline, asyncio.get_running_loop().time() + SILENCE)
+        return min(
+            self.call.deadline, asyncio.get_running_loop().time() + STREAM_IDLE_TIMEOUT
+        )
 
-    def _count_run(self) -> None:
-        if not self.is_counted and self.call.account is not None:
-            age = asyncio.get_running_loop().time() - self.started_at
-            self.relay.sender.on_executed(self.call.account, age)
-        self.is_counted = True
+    def _report_executed(self) -> None:
+        if not self.is_reported and self.call.account is not None:
+            elapsed = asyncio.get_running_loop().time() - self.started_at
+            self.proxy.sender.on_executed(self.call.account, elapsed)
+        self.is_reported = True
 
     def _make_error(self, code: ErrorCode, message: str) -> BuckthornstileError:
         verdict = Verdict.MAY_HAVE_RUN if self.may_have_run else Verdict.NOT_RUN
--- a/buckthornstile/gateway/_topology_watcher.py
+++ b/buckthornstile/gateway/_topology_watcher.py
@@ -1,4 +1,4 @@
-"""Follows what operators, trainers and upstreams write to the store."""
+"""Watches the records that operators, trainers and upstreams write to the store."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,16 +20,19 @@
 )
 from buckthornstile.topology import EXPIRY_GRACE, TopologyView, Upstream
 
-OPERATOR_WAIT = 0.4
-"""Seconds that a read is held: bounds how old a configuration can be unknown."""
-UPSTREAM_WAIT = 0.5
-UPSTREAM_PAUSE = 0.12
-"""Seconds between reads; all upstreams write about once a second."""
-LAPSE_BEATS = 1.8
-"""Heartbeats without the store after which entries may have lapsed: they do after
-three, of which one may have passed before."""
-EXPIRY_PERIOD = 0.1
-"""Seconds between two looks for lapsed entries whose grace has passed."""
+OPERATOR_MAX_WAIT = 0.4
+"""Seconds that a long poll for operator records may last; it bounds for how long a new
+configuration can be unknown here."""
+UPSTREAM_MAX_WAIT = 0.5
+"""Seconds that a long poll for upstream entries may last."""
+UPSTREAM_POLL_INTERVAL = 0.12
+"""Seconds between two polls; each upstream writes about once per second."""
+EXPIRY_OUTAGE_HEARTBEATS = 1.8
+"""Length of a store outage, in heartbeat intervals, after which upstream entries may
+have expired. An entry expires after three intervals, and one of them may have passed
+before the outage."""
+EXPIRY_CHECK_INTERVAL = 0.1
+"""Seconds between two checks for expired entries whose grace period has passed."""
 
 
 class TopologyWatcher:
@@ -37,10 +40,10 @@
 
     Args:
         store: The store.
-        view: The view to keep.
-        clock: Gives the time in seconds; it must go on while suspended.
-        on_change: Called after upstreams or named versions changed.
-        heartbeat: Seconds between two writes of an upstream.
+        view: The view that is updated.
+        clock: Returns the time in seconds; it must advance while the VM is suspended.
+        on_change: Called after upstreams, the configuration or named versions changed.
+        heartbeat_interval: Seconds between two writes of an upstream.
     """
 
     def __init__(
@@ -50,69 +53,73 @@
         *,
         clock: Callable[[], float],
         on_change: Callable[[], None],
-        heartbeat: float,
+        heartbeat_interval: float,
     ) -> None:
-        self.heartbeat = heartbeat
+        self.heartbeat_interval = heartbeat_interval
         self.view = view
         self.clock = clock
         self.on_change = on_change
-        self._lapse_until = 0.0
-        self.operator = PartitionConsumer(
+        self._grace_until = 0.0
+        self.operator_consumer = PartitionConsumer(
             store,
             OPERATOR_TOPIC,
             0,
             clock=clock,
-            max_wait=OPERATOR_WAIT,
-            on_record=self._apply_operator,
-            on_snapshot=self._apply_all_operator,
+            max_wait=OPERATOR_MAX_WAIT,
+            on_record=self._apply_operator_record,
+            on_snapshot=self._replace_operator_state,
         )
-        self.upstreams = PartitionConsumer(
+        self.upstream_consumer = PartitionConsumer(
             store,
             UPSTREAM_TOPIC,
             0,
             clock=clock,
-            max_wait=UPSTREAM_WAIT,
-            poll_interval=UPSTREAM_PAUSE,
+            max_wait=UPSTREAM_MAX_WAIT,
+            poll_interval=UPSTREAM_POLL_INTERVAL,
             on_record=self._apply_upstream_record,
-            on_snapshot=self._apply_all_upstreams,
+            on_snapshot=self._replace_upstreams,
         )
 
     def is_loaded(self) -> bool:
-        """Whether a configuration and the upstreams are known."""
-        is_read = self.operator.is_loaded and self.upstreams.is_loaded
-        return is_read and self.view.configuration is not None
+        """Whether a configuration and the upstreams have been read."""
+        is_synced = (
+            self.operator_consumer.is_loaded and self.upstream_consumer.is_loaded
+        )
+        return is_synced and self.view.configuration is not None
 
     async def run(self) -> None:
-        """Follows both topics until cancelled."""
+        """Consumes both topics until cancelled."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.operator.run())
-            group.create_task(self.upstreams.run())
-            group.create_task(self._expire_lapsed())
+            group.create_task(self.operator_consumer.run())
+            group.create_task(self.upstream_consumer.run())
+            group.create_task(self._remove_expired())
 
-    def _apply_all_operator(self, records: list[KeyedRecord]) -> None:
-        zones = {
+    def _replace_operator_state(self, records: list[KeyedRecord]) -> None:
+        failure_domains = {
             FailureDomain(record.key.removeprefix(EVACUATION_PREFIX))
             for record in records
             if record.key.startswith(EVACUATION_PREFIX)
         }
-        self.view.replace_evacuations(zones)
+        self.view.replace_evacuations(failure_domains)
         for record in records:
             if not record.key.startswith(EVACUATION_PREFIX):
-                self._apply_operator(record)
+                self._apply_operator_record(record)
         self.on_change()
 
-    def _apply_operator(self, record: KeyedRecord) -> None:
+    def _apply_operator_record(self, record: KeyedRecord) -> None:
         try:
-            self._decode_operator(record)
+            self._apply_operator_value(record)
         except ValueError as error:
             log_event("operator.record_unreadable", key=record.key, reason=error)
 
-    def _decode_operator(self, record: KeyedRecord) -> None:
+    def _apply_operator_value(self, record: KeyedRecord) -> None:
         key, value = record.key, record.value
         if key.startswith(EVACUATION_PREFIX):
-            zone = FailureDomain(key.removeprefix(EVACUATION_PREFIX))
-            self.view.apply_evacuation(zone, value is not None)
-            log_event("evacuation.changed", zone=zone, evacuated=value is not None)
+            failure_domain = FailureDomain(key.removeprefix(EVACUATION_PREFIX))
+            self.view.apply_evacuation(failure_domain, value is not None)
+            log_event(
+                "evacuation.changed", zone=failure_domain, evacuated=value is not None
+            )
             self.on_change()
         elif key == CONFIGURATION_KEY and value is not None:
             configuration = decode_configuration(value)
@@ -130,14 +137,14 @@
                 log_event("version.named", model=model, version=version)
                 self.on_change()
 
-    def _apply_all_upstreams(self, records: list[KeyedRecord]) -> None:
+    def _replace_upstreams(self, records: list[KeyedRecord]) -> None:
         upstreams: dict[UpstreamId, Upstream] = {}
         for record in records:
             upstream = self._decode_upstream(record)
             if upstream is not None:
                 upstreams[upstream.id] = upstream
         now = self.clock()
-        until = self._get_lapse_end(now)
+        until = self._get_grace_end(now)
         self.view.replace_upstreams(upstreams, now, until=until)
         self.on_change()
 
@@ -145,7 +152,7 @@
         now = self.clock()
         name = UpstreamId(record.key)
         if record.value is None:
-            until = self._get_lapse_end(now)
+            until = self._get_grace_end(now)
             log_event("upstream.entry_gone", upstream=name, kept=max(0, until - now))
             self.view.remove_upstream(name, now, until=until)
             self.on_change()
@@ -154,16 +161,16 @@
         if upstream is None:
             self.view.remove_upstream(name, now)
             return
-        known = self.view.upstreams.get(name)
+        previous = self.view.upstreams.get(name)
         if not self.view.apply_upstream(upstream, now):
             log_event(
                 "upstream.entry_late",
                 upstream=name,
                 beat=upstream.sequence,
-                known=known is not None,
+                known=previous is not None,
             )
             return
-        if known is None or _differs(known, upstream):
+        if previous is None or _has_changed(previous, upstream):
             log_event(
                 "upstream.changed",
                 upstream=name,
@@ -183,26 +190,34 @@
             log_event("upstream.entry_unreadable", upstream=record.key, reason=error)
             return None
 
-    def _get_lapse_end(self, now: float) -> float:
-        """Until when a missing entry may have lapsed while the store was away."""
-        consumer = self.upstreams
-        lost_at = consumer.disconnected_at
-        outage = LAPSE_BEATS * self.heartbeat
-        if consumer.is_loaded and lost_at is not None and now - lost_at > outage:
-            self._lapse_until = now + EXPIRY_GRACE
-        return self._lapse_until if self._lapse_until > now else 0.0
-
-    async def _expire_lapsed(self) -> None:
+    def _get_grace_end(self, now: float) -> float:
+        """Returns the end of the grace period for missing entries, or 0 for none.
+
+        An entry that is missing after a long store outage may have expired only because
+        its upstream could not write.
+        """
+        consumer = self.upstream_consumer
+        disconnected_at = consumer.disconnected_at
+        min_outage = EXPIRY_OUTAGE_HEARTBEATS * self.heartbeat_interval
+        if (
+            consumer.is_loaded
+            and disconnected_at is not None
+            and now - disconnected_at > min_outage
+        ):
+            self._grace_until = now + EXPIRY_GRACE
+        return self._grace_until if self._grace_until > now else 0.0
+
+    async def _remove_expired(self) -> None:
         while True:
-            await asyncio.sleep(EXPIRY_PERIOD)
+            await asyncio.sleep(EXPIRY_CHECK_INTERVAL)
             for name in self.view.remove_expired(self.clock()):
                 log_event("upstream.lapsed", upstream=name)
 
 
-def _differs(known: Upstream, upstream: Upstream) -> bool:
+def _has_changed(previous: Upstream, upstream: Upstream) -> bool:
     return (
-        known.is_draining != upstream.is_draining
-        or known.address != upstream.address
-        or known.versions != upstream.versions
-        or known.started_at_ms != upstream.started_at_ms
+        previous.is_draining != upstream.is_draining
+        or previous.address != upstream.address
+        or previous.versions != upstream.versions
+        or previous.started_at_ms != upstream.started_at_ms
     )
