--- a/buckthornstile/gateway/_call_sender.py
+++ b/buckthornstile/gateway/_call_sender.py
@@ -103,7 +103,19 @@
 
 
 class _PendingCall:
-    """One request and its attempts at upstreams."""
+    """One request and its attempts at upstreams.
+
+    Attributes:
+        tried: Upstreams that the request was sent to.
+        running: Attempts that have not ended, by their tasks.
+        run_count: Number of attempts, except those that did not run the request.
+        refusal_count: Number of attempts that did not run the request.
+        may_have_run: Whether an upstream may have run the request.
+        failed_response: The last response with a server error, returned if no other
+            attempt succeeds.
+        last_error: The last error of an attempt.
+        can_hedge: Whether a further attempt may be started while one is running.
+    """
 
     def __init__(self, sender: CallSender, call: RoutedCall) -> None:
         self.sender = sender
@@ -150,6 +162,7 @@
             await self._cancel_running()
 
     def _start(self) -> bool:
+        """Starts an attempt, and returns whether an upstream was available for it."""
         balancer = self.sender.balancer
         upstream = balancer.pick(self.service, avoided=self.tried)
         if upstream is None:
@@ -286,6 +299,7 @@
         return max(0.001, newest_start + delay - now)
 
     def _record_slow_attempts(self) -> None:
+        """Records the time that each running attempt has taken so far as a latency."""
         now = asyncio.get_running_loop().time()
         for attempt in self.running.values():
             self.sender.balancer.record_latency(
--- a/buckthornstile/gateway/_handlers.py
+++ b/buckthornstile/gateway/_handlers.py
@@ -33,7 +33,8 @@
 from buckthornstile.topology import PlatformAccount, Route, RouteKind, TopologyView
 
 KEY_BOUND_FRACTION = 0.9
-"""Fraction of the withdrawal bound for which keys are accepted without new records."""
+"""Fraction of ``key_bound`` that the configuration's age may reach before keys are
+refused."""
 RETRY_AFTER_SECONDS = 0.1
 """Seconds after which a client may retry a request that was not run."""
 CATCH_UP_TIMEOUT = 0.6
@@ -52,7 +53,22 @@
 
 @dataclass(frozen=True, slots=True)
 class HandlerDependencies:
-    """The objects and settings that the handlers use."""
+    """The objects and settings that the handlers use.
+
+    Attributes:
+        view: The topology in effect.
+        topology_watcher: Keeps the view up to date.
+        sender: Sends calls to upstreams.
+        stream_proxy: Opens streams at upstreams.
+        job_store: The batch jobs.
+        clock: Returns the time in seconds; it must advance while the VM is suspended.
+        wall_clock: Returns the seconds since the epoch.
+        metrics: Records the latencies of calls.
+        choose_first_owner: Returns the process that runs a new job first.
+        peer_client: Forwards requests to other entries.
+        key_bound: Seconds within which a withdrawn key must stop working.
+        fails_closed: Whether keys are refused that have not been checked in time.
+    """
 
     view: TopologyView
     topology_watcher: TopologyWatcher
@@ -75,7 +91,7 @@
         self.dependencies = dependencies
 
     async def handle(self, request: ClientRequest) -> Response | StreamingResponse:
-        """Handles a client's request; an error becomes a response with its status."""
+        """Handles a client's request; an error becomes an error response."""
         return await self._respond(request, self._dispatch(request))
 
     async def handle_forwarded(
@@ -87,10 +103,10 @@
     async def _respond(
         self,
         request: ClientRequest,
-        work: Coroutine[Any, Any, Response | StreamingResponse],
+        coroutine: Coroutine[Any, Any, Response | StreamingResponse],
     ) -> Response | StreamingResponse:
         try:
-            return await work
+            return await coroutine
         except BuckthornstileError as error:
             response = make_error_response(error)
             log_event(
@@ -120,7 +136,7 @@
             return await self._submit(request, route, account)
         return await self._call(request, route, account)
 
-    # Filters
+    # Routing and authentication
 
     def _find_route(self, request: ClientRequest) -> Route:
         if self.dependencies.view.configuration is None:
--- a/buckthornstile/gateway/_load_balancer.py
+++ b/buckthornstile/gateway/_load_balancer.py
@@ -70,13 +70,13 @@
         self._stats: UpstreamStats | None = stats
 
     def release(self) -> None:
-        """Records that the request has ended, with whatever outcome."""
+        """Records that the request has ended, whatever its outcome."""
         if self._stats is not None:
             self._stats.open_request_count -= 1
             self._stats = None
 
     def release_when_done(self, _: object) -> None:
-        """Releases the permit; a callback for a task that is done."""
+        """Releases the permit; meant as the done callback of a task."""
         self.release()
 
 
@@ -112,23 +112,25 @@
         self.name = name
         self.cold_rate_factor = cold_rate_factor
         self.cold_rate_slack = cold_rate_slack
-        self._stats: dict[UpstreamId, UpstreamStats] = {}
+        self._stats_by_upstream: dict[UpstreamId, UpstreamStats] = {}
 
     def get_stats(self, upstream: Upstream) -> UpstreamStats:
         """Returns the statistics of an upstream's current incarnation."""
-        stats = self._stats.get(upstream.id)
+        stats = self._stats_by_upstream.get(upstream.id)
         if stats is None or stats.started_at_ms != upstream.started_at_ms:
-            stats = self._stats[upstream.id] = UpstreamStats(upstream.started_at_ms)
+            stats = self._stats_by_upstream[upstream.id] = UpstreamStats(
+                upstream.started_at_ms
+            )
         return stats
 
     def prune(self) -> None:
         """Removes the statistics of upstreams that no longer exist."""
-        for name in list(self._stats):
+        for name in list(self._stats_by_upstream):
             if (
                 name not in self.view.upstreams
-                and not self._stats[name].open_request_count
+                and not self._stats_by_upstream[name].open_request_count
             ):
-                del self._stats[name]
+                del self._stats_by_upstream[name]
 
     def pick(
         self,
@@ -232,8 +234,8 @@
         latency = stats.average_latency if stats.average_latency is not None else median
         slowness = max(1.0, latency / median) if latency and median else 1.0
         load = (self._estimate_load(upstream, now) + 1) / max(1, upstream.slots)
-        tie = compute_rendezvous_score(self.name, upstream.id)
-        return (penalty, round(load * slowness, 3), tie)
+        tie_breaker = compute_rendezvous_score(self.name, upstream.id)
+        return (penalty, round(load * slowness, 3), tie_breaker)
 
     def _estimate_load(self, upstream: Upstream, now: float) -> float:
         stats = self.get_stats(upstream)
@@ -252,14 +254,14 @@
         start_times = self.get_stats(upstream).start_times
         while start_times and start_times[0] <= now - COLD_WINDOW:
             start_times.popleft()
-        return len(start_times) < self._get_cold_limit(upstream, rate)
+        return len(start_times) < self._get_cold_limit_share(upstream, rate)
 
     def _get_cold_rate(self, upstream: Upstream) -> float:
         configuration = self.view.configuration
         service = configuration and configuration.services.get(upstream.service)
         return service.cold_rate if service else self.default_cold_rate
 
-    def _get_cold_limit(self, upstream: Upstream, rate: float) -> int:
+    def _get_cold_limit_share(self, upstream: Upstream, rate: float) -> int:
         entries = self.list_entries()
         limit = int(rate * self.cold_rate_factor + self.cold_rate_slack)
         share = limit // max(1, len(entries))
--- a/buckthornstile/gateway/_metrics.py
+++ b/buckthornstile/gateway/_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a gateway, as scrapers read them."""
+"""Metrics that a gateway exports to scrapers."""
 
 from collections.abc import Mapping
 
--- a/buckthornstile/gateway/_presence.py
+++ b/buckthornstile/gateway/_presence.py
@@ -30,7 +30,7 @@
 
     Attributes:
         name: Name of the process.
-        node: Name of its VM.
+        node: Its configured name, one per VM; it stays the same after a restart.
         is_leaving: Whether it is shutting down.
         counts: Number of its requests by window and account.
         versions: Versions that engines have loaded but do not list in their own entries
--- a/buckthornstile/gateway/_store_proxy.py
+++ b/buckthornstile/gateway/_store_proxy.py
@@ -1,6 +1,7 @@
 """Selects the path to the store: the direct one, or through another entry as a proxy.
 
-The store may refuse single VMs, or be unreachable from them, while it serves others.
+The store may refuse calls from single VMs, or be unreachable from them, while it serves
+others.
 """
 
 import asyncio
--- a/buckthornstile/gateway/_stream_proxy.py
+++ b/buckthornstile/gateway/_stream_proxy.py
@@ -38,9 +38,9 @@
 
 STREAM_IDLE_TIMEOUT = 1.2
 """Seconds without an event after which a resumable stream moves to another upstream."""
-BUFFERED_EVENTS = 64
-"""Number of events that are buffered before reading from the upstream pauses, if the
-client is slow."""
+MAX_BUFFERED_EVENTS = 64
+"""Number of events buffered for a slow client; while the buffer is full, reading from
+the upstream pauses."""
 
 
 class StreamProxy:
@@ -73,7 +73,15 @@
 
 
 class _Run:
-    """One run of a request at one upstream."""
+    """One run of a request at one upstream.
+
+    Attributes:
+        head: The response's head, or None before it has arrived.
+        events: Events received but not yet proxied, each with its encoded block.
+        head_or_end: Set once the head has arrived or the run has ended.
+        is_malformed: Whether the upstream sent data that is not a valid stream.
+        task: Sends the request and receives the response.
+    """
 
     def __init__(
         self,
@@ -89,7 +97,7 @@
         self.head: ResponseHead | None = None
         self.parser: UpstreamEventParser | None = None
         self.events: asyncio.Queue[tuple[StreamEvent, bytes]] = asyncio.Queue(
-            BUFFERED_EVENTS
+            MAX_BUFFERED_EVENTS
         )
         self.head_or_end = asyncio.Event()
         self.is_malformed = False
@@ -191,7 +199,17 @@
 
 
 class _ProxiedStream:
-    """One request and all its runs."""
+    """One request and all its runs.
+
+    Attributes:
+        tried: Upstreams that the request was sent to.
+        run_count: Number of runs, except those that did not run the request.
+        refusal_count: Number of attempts that did not run the request.
+        may_have_run: Whether an upstream may have run the request.
+        last_event_id: Id of the last event sent to the client, or None.
+        version: Model version of the last event, or of the head before the first one.
+        is_reported: Whether the sender was notified that the request was run.
+    """
 
     def __init__(self, proxy: StreamProxy, call: RoutedCall) -> None:
         self.proxy = proxy
--- a/buckthornstile/gateway/_topology_watcher.py
+++ b/buckthornstile/gateway/_topology_watcher.py
@@ -42,7 +42,8 @@
         store: The store.
         view: The view that is updated.
         clock: Returns the time in seconds; it must advance while the VM is suspended.
-        on_change: Called after upstreams, the configuration or named versions changed.
+        on_change: Called after upstreams, evacuations, the configuration or named
+            versions changed.
         heartbeat_interval: Seconds between two writes of an upstream.
     """
 
@@ -67,7 +68,7 @@
             clock=clock,
             max_wait=OPERATOR_MAX_WAIT,
             on_record=self._apply_operator_record,
-            on_snapshot=self._replace_operator_state,
+            on_snapshot=self._apply_operator_snapshot,
         )
         self.upstream_consumer = PartitionConsumer(
             store,
@@ -77,7 +78,7 @@
             max_wait=UPSTREAM_MAX_WAIT,
             poll_interval=UPSTREAM_POLL_INTERVAL,
             on_record=self._apply_upstream_record,
-            on_snapshot=self._replace_upstreams,
+            on_snapshot=self._apply_upstream_snapshot,
         )
 
     def is_loaded(self) -> bool:
@@ -94,7 +95,7 @@
             group.create_task(self.upstream_consumer.run())
             group.create_task(self._remove_expired())
 
-    def _replace_operator_state(self, records: list[KeyedRecord]) -> None:
+    def _apply_operator_snapshot(self, records: list[KeyedRecord]) -> None:
         failure_domains = {
             FailureDomain(record.key.removeprefix(EVACUATION_PREFIX))
             for record in records
@@ -137,7 +138,7 @@
                 log_event("version.named", model=model, version=version)
                 self.on_change()
 
-    def _replace_upstreams(self, records: list[KeyedRecord]) -> None:
+    def _apply_upstream_snapshot(self, records: list[KeyedRecord]) -> None:
         upstreams: dict[UpstreamId, Upstream] = {}
         for record in records:
             upstream = self._decode_upstream(record)
