--- a/buckthornstile/entry/__init__.py
+++ b/buckthornstile/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry: the one process of the system."""
+"""The entry: the server process of the system."""
 
 from buckthornstile.entry._daemon import Entry, run_entry
 
--- a/buckthornstile/entry/__main__.py
+++ b/buckthornstile/entry/__main__.py
@@ -1,4 +1,7 @@
-"""Runs an entry on the users' platform: ``python -m buckthornstile.entry``."""
+"""Runs an entry: ``python -m buckthornstile.entry``.
+
+The environment names the settings file.
+"""
 
 from buckthornstile.entry import run_entry
 from buckthornstile.platform import read_node_settings
--- a/buckthornstile/entry/_components.py
+++ b/buckthornstile/entry/_components.py
@@ -1,4 +1,4 @@
-"""Makes the parts of an entry from its settings."""
+"""Builds the components of an entry from its settings."""
 
 import random
 from collections.abc import Callable
@@ -28,10 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedResources:
-    """What all parts of an entry share.
+    """Resources that all components of an entry share.
 
-    ``clock`` gives the time in seconds and goes on while suspended; ``wall_clock``
-    gives seconds since the epoch.
+    ``clock`` returns the time in seconds and also advances while the machine is
+    suspended; ``wall_clock`` returns seconds since the epoch.
     """
 
     settings: EntrySettings
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamComponents:
-    """What knows upstreams and sends them requests."""
+    """Components that track upstreams and send requests to them."""
 
     balancer: LoadBalancer
     topology_watcher: TopologyWatcher
@@ -60,13 +60,14 @@
     on_change: Callable[[], None],
     on_executed: Callable[[AccountId, float], None],
 ) -> UpstreamComponents:
-    """Makes what knows upstreams and sends them requests.
+    """Builds the components that track upstreams and send requests to them.
 
     Args:
-        resources: What all parts share.
-        list_possibly_live: Gives the entries that may be sending now.
-        on_change: Called after the topology changed.
-        on_executed: Called when an upstream has run an account's request.
+        resources: The shared resources of the entry.
+        list_possibly_live: Returns the entries that may be sending requests now.
+        on_change: Called after each change of the topology.
+        on_executed: Called with the account and the age in seconds of a request
+            that an upstream has executed.
     """
     settings, view, pool = resources.settings, resources.view, resources.pool
     balancer = LoadBalancer(
@@ -78,17 +79,19 @@
         slack=settings.cold_slack,
         default_cold_rate=settings.cold_rate,
     )
-    watch = TopologyWatcher(
+    topology_watcher = TopologyWatcher(
         resources.store,
         view,
         clock=resources.clock,
         on_change=on_change,
         heartbeat=settings.heartbeat,
     )
-    source = random.Random(resources.name)
-    sender = CallSender(balancer, pool, random_source=source, on_executed=on_executed)
+    random_source = random.Random(resources.name)
+    sender = CallSender(
+        balancer, pool, random_source=random_source, on_executed=on_executed
+    )
     return UpstreamComponents(
-        balancer, watch, sender, StreamProxy(sender, balancer, pool)
+        balancer, topology_watcher, sender, StreamProxy(sender, balancer, pool)
     )
 
 
@@ -99,13 +102,13 @@
     on_change: Callable[[Job], None],
     may_load: Callable[[], bool],
 ) -> JobStore:
-    """Makes what keeps batch jobs in the store.
+    """Builds the component that keeps batch jobs in the store.
 
     Args:
-        resources: What all parts share.
-        assignment: Which entries follow which partitions.
-        on_change: Called with a job after a record changed it.
-        may_load: Tells whether partitions may be loaded now.
+        resources: The shared resources of the entry.
+        assignment: Assignment of partitions to entries.
+        on_change: Called with each job that a record changed.
+        may_load: Whether partitions may be loaded now.
     """
     settings = resources.settings
     return JobStore(
@@ -122,18 +125,19 @@
     )
 
 
-def make_control(
+def make_lease_holder_tasks(
     resources: SharedResources,
     *,
     balancer: LoadBalancer,
     presence_publisher: PresencePublisher,
 ) -> LeaseHolderTasks:
-    """Makes what performs the duties while the entry holds the lease.
+    """Builds the tasks that the entry runs while it holds the lease.
 
     Args:
-        resources: What all parts share.
-        balancer: What was seen of upstreams.
-        presence_publisher: Tells other entries news, and sums what they counted.
+        resources: The shared resources of the entry.
+        balancer: Knows which upstreams are ejected, and records their failures.
+        presence_publisher: Publishes loaded versions to the other entries, and sums
+            the usage that all entries counted.
     """
     settings, view = resources.settings, resources.view
     lease_manager = LeaseManager(
@@ -142,7 +146,7 @@
         clock=resources.clock,
         turn_bound=settings.turn_bound,
     )
-    orders = ModelLoadDispatcher(
+    load_dispatcher = ModelLoadDispatcher(
         settings.process,
         lease_manager,
         view=view,
@@ -153,15 +157,15 @@
         on_version_loaded=presence_publisher.request_publish,
         record_failure=balancer.record_failure,
     )
-    reports = None
+    usage_reporter = None
     if settings.duty_address:
-        reports = UsageReporter(
+        usage_reporter = UsageReporter(
             settings.process,
             lease_manager,
-            totals=presence_publisher.totals,
+            totals=presence_publisher.usage_totals,
             client=DutyClient(settings.duty_address),
             wall_clock=resources.wall_clock,
             due=settings.usage_due,
             list_pending_processes=presence_publisher.presence.list_possibly_live,
         )
-    return LeaseHolderTasks(lease_manager, orders, reports)
+    return LeaseHolderTasks(lease_manager, load_dispatcher, usage_reporter)
--- a/buckthornstile/entry/_daemon.py
+++ b/buckthornstile/entry/_daemon.py
@@ -1,4 +1,4 @@
-"""The entry's process: puts the parts together and runs them."""
+"""The entry process: connects its components and runs them."""
 
 import asyncio
 import random
@@ -30,8 +30,8 @@
 from buckthornstile.clock import read_boottime, read_wall_time
 from buckthornstile.entry._components import (
     SharedResources,
-    make_control,
     make_job_store,
+    make_lease_holder_tasks,
     make_upstream_components,
 )
 from buckthornstile.entry._http_listener import HTTPCodec, HTTPListener
@@ -64,31 +64,33 @@
 from buckthornstile.topology import TopologyView
 
 IDLE_TIMEOUT = 60.0
-"""Seconds; longer than any configured idle timeout of clients."""
-READY_AGE = 2.5
-"""Seconds without the store after which no new clients are asked for."""
-DRAIN_TIME = 3.0
-"""Seconds for the balancer to send its clients elsewhere: two missed questions."""
+"""Seconds; longer than any idle timeout that clients are configured with."""
+MAX_READY_STALENESS = 2.5
+"""Seconds without the store after which an entry is not ready for new clients."""
+MIN_DRAIN_TIME = 3.0
+"""Seconds in which the balancer in front of the entries sees two failed readiness
+probes and sends its clients elsewhere."""
 STOP_MARGIN = 1.5
-"""Seconds before SIGKILL at which a stopping process ends."""
-STOP_POLL = 0.05
-RESTART_PAUSE = 0.2
-"""Seconds before a task that failed is started again."""
-KEY_CHECK_PERIOD = 0.2
-"""Seconds between two looks for running work whose key cannot be checked any more."""
+"""Seconds between the exit of a stopping process and the SIGKILL that would follow."""
+STOP_POLL_INTERVAL = 0.05
+"""Seconds between two checks for open requests and running jobs during a stop."""
+RESTART_DELAY = 0.2
+"""Seconds before a background task that returned or failed is started again."""
+KEY_CHECK_INTERVAL = 0.2
+"""Seconds between two checks for running work whose key is no longer verifiable."""
 PLATFORM_CODEC = HTTPCodec(decode_request, encode_response, make_error_response)
 API_CODEC = HTTPCodec(decode_api_request, encode_api_response, make_api_error)
 
 
 class Entry:
-    """One entry process.
+    """The entry process with its listeners and background tasks.
 
     Args:
-        settings: Where it listens, what it talks to and the bounds that it keeps.
-        events: Writes its event lines.
+        settings: Addresses, limits and intervals of the entry.
+        event_handler: Log handler that writes the event lines and counts them.
     """
 
-    def __init__(self, settings: EntrySettings, events: EventLogHandler) -> None:
+    def __init__(self, settings: EntrySettings, event_handler: EventLogHandler) -> None:
         self.settings = settings
         self.started_wall_time = read_wall_time()
         self.started_at = read_boottime()
@@ -96,7 +98,7 @@
         self.name = ProcessName(name)
         self.clock = read_boottime
         self.is_stopping = False
-        self.events = events
+        self.event_handler = event_handler
         self.listeners: list[HTTPListener] = []
         self.api_port = 0
         self.view = TopologyView()
@@ -128,30 +130,31 @@
             clock=self.clock,
             wall_clock=self.get_wall_time,
             list_unpublished_versions=lambda: (
-                self.control.load_dispatcher.list_unpublished_versions()
+                self.lease_holder_tasks.load_dispatcher.list_unpublished_versions()
             ),
         )
         self.presence = self.presence_publisher.presence
         self.configuration: ConfigurationWatcher | None = None
         self.admission: AdmissionController | None = None
         self.revocation = RevocationMonitor(self._find_key_error)
-        self._make_upstream_side()
-        self._make_jobs()
-        self._make_control()
-        self._make_platform_doors()
+        self._make_upstream_components()
+        self._make_job_components()
+        self._make_lease_holder_tasks()
+        self._add_platform_listeners()
         if settings.api_address:
-            self._make_api_door()
+            self._add_api_listener()
 
     def get_wall_time(self) -> float:
-        """Seconds since the epoch, by the wall clock at the start.
+        """Returns seconds since the epoch.
 
-        The wall clock itself may jump while the process runs.
+        They are counted from the wall time at the start of the process, as the wall
+        clock itself may jump while the process runs.
         """
         return self.started_wall_time + self.clock() - self.started_at
 
     def is_ready(self) -> bool:
-        """Whether new clients may be sent here."""
-        if self.is_stopping or not self.jobs.is_loaded():
+        """Whether the balancer may send new clients to this entry."""
+        if self.is_stopping or not self.job_store.is_loaded():
             return False
         ages = []
         if self.settings.client_address:
@@ -162,10 +165,10 @@
             if not self.configuration.is_loaded:
                 return False
             ages.append(self.configuration.consumer.get_staleness())
-        return max(ages, default=0.0) < READY_AGE
+        return max(ages, default=0.0) < MAX_READY_STALENESS
 
     async def run(self) -> None:
-        """Serves until the process is told to stop."""
+        """Serves requests until SIGTERM, then stops in order."""
         loop = asyncio.get_running_loop()
         stop = asyncio.Event()
         loop.add_signal_handler(signal.SIGTERM, stop.set)
@@ -176,7 +179,7 @@
                 self.api_port = port
             elif listener.address == self.settings.peer_address:
                 host = listener.address.rpartition(":")[0]
-                self.presence_publisher.address = f"{host}:{port}"
+                self.presence_publisher.peer_address = f"{host}:{port}"
         log_event(
             "process.start",
             name=self.name,
@@ -184,7 +187,8 @@
             port=self.api_port,
         )
         tasks = [
-            asyncio.create_task(self._keep_running(work)) for work in self._list_work()
+            asyncio.create_task(self._keep_running(task))
+            for task in self._list_background_tasks()
         ]
         try:
             await stop.wait()
@@ -193,49 +197,52 @@
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
-            self.owner.stop_all()
+            self.job_manager.stop_all()
         log_event("process.stop", name=self.name)
 
-    async def kill(self) -> None:
-        """Closes all connections at once."""
-        self.owner.stop_all()
+    async def close(self) -> None:
+        """Stops all jobs and closes all connections without a planned stop."""
+        self.job_manager.stop_all()
         for listener in self.listeners:
             await listener.close()
         self.pool.close()
         self.store.close()
 
-    # Parts
+    # Components
 
-    def _list_work(self) -> list[Callable[[], Awaitable[None]]]:
-        work: list[Callable[[], Awaitable[None]]] = [
+    def _list_background_tasks(self) -> list[Callable[[], Awaitable[None]]]:
+        tasks: list[Callable[[], Awaitable[None]]] = [
             self.topology_watcher.run,
-            self.jobs.run,
-            self.control.run,
-            self.owner.run,
+            self.job_store.run,
+            self.lease_holder_tasks.run,
+            self.job_manager.run,
             self.presence_publisher.consumer.run,
             self.presence_publisher.run,
             self._probe_store,
         ]
         if self.configuration is not None:
-            work += [self.configuration.run, self._check_keys]
-        return work
+            tasks += [self.configuration.run, self._check_keys]
+        return tasks
 
-    def _make_upstream_side(self) -> None:
-        side = make_upstream_components(
+    def _make_upstream_components(self) -> None:
+        components = make_upstream_components(
             self.resources,
             list_possibly_live=self.presence.list_possibly_live,
-            on_change=self._note_topology,
-            on_executed=self._count_run,
+            on_change=self._on_topology_changed,
+            on_executed=self._count_executed_request,
         )
-        self.balancer, self.topology_watcher = side.balancer, side.topology_watcher
-        self.sender, self.stream_proxy = side.sender, side.stream_proxy
+        self.balancer, self.topology_watcher = (
+            components.balancer,
+            components.topology_watcher,
+        )
+        self.sender, self.stream_proxy = components.sender, components.stream_proxy
 
-    def _make_jobs(self) -> None:
+    def _make_job_components(self) -> None:
         self.assignment = PartitionAssignment(self.name, self.presence)
-        self.jobs = make_job_store(
+        self.job_store = make_job_store(
             self.resources,
             assignment=self.assignment,
-            on_change=self._note_job,
+            on_change=self._on_job_changed,
             may_load=self._may_load_jobs,
         )
         dependencies = JobDependencies(
@@ -243,28 +250,28 @@
             balancer=self.balancer,
             item_runner=ItemRunner(self.balancer, self.pool),
             sender=self.sender,
-            store=self.jobs,
+            store=self.job_store,
             metrics=self.metrics,
             clock=self.clock,
         )
-        self.owner = JobManager(
+        self.job_manager = JobManager(
             self.name,
             dependencies,
             self.presence,
             assignment=self.assignment,
             clock=self.clock,
             result_lifetime=self.settings.result_lifetime,
-            is_withdrawn=self._is_withdrawn,
+            is_withdrawn=self._is_key_withdrawn,
         )
 
-    def _make_control(self) -> None:
-        self.control = make_control(
+    def _make_lease_holder_tasks(self) -> None:
+        self.lease_holder_tasks = make_lease_holder_tasks(
             self.resources,
             balancer=self.balancer,
             presence_publisher=self.presence_publisher,
         )
 
-    def _make_platform_doors(self) -> None:
+    def _add_platform_listeners(self) -> None:
         settings = self.settings
         handlers = ClientHandlers(
             HandlerDependencies(
@@ -272,23 +279,25 @@
                 topology_watcher=self.topology_watcher,
                 sender=self.sender,
                 stream_proxy=self.stream_proxy,
-                jobs=self.jobs,
+                jobs=self.job_store,
                 clock=self.clock,
                 wall_clock=self.get_wall_time,
                 metrics=self.metrics,
-                choose_first_owner=self.owner.choose_first_owner,
+                choose_first_owner=self.job_manager.choose_first_owner,
                 key_bound=settings.key_bound,
                 fails_closed=settings.fails_closed,
                 peers=PeerClient(self.name, self.assignment, self.presence, self.pool),
             )
         )
-        self.client_listener = self._add_door(handlers.handle, settings.client_address)
-        self._add_door(self._answer_ready, settings.ready_address)
-        self._add_door(self._answer_metrics, settings.metrics_address)
+        self.client_listener = self._add_listener(
+            handlers.handle, settings.client_address
+        )
+        self._add_listener(self._handle_ready, settings.ready_address)
+        self._add_listener(self._handle_metrics, settings.metrics_address)
         self.client_handlers = handlers
-        self._add_door(self._answer_peer, settings.peer_address)
+        self._add_listener(self._handle_peer, settings.peer_address)
 
-    def _add_door(
+    def _add_listener(
         self,
         handler: Callable[[ClientRequest], Awaitable[Response | StreamingResponse]],
         address: str,
@@ -301,7 +310,7 @@
         self.listeners.append(listener)
         return listener
 
-    def _make_api_door(self) -> None:
+    def _add_api_listener(self) -> None:
         settings = self.settings
         self.configuration = ConfigurationWatcher(
             self.store,
@@ -312,7 +321,9 @@
             on_change=self.revocation.cancel_revoked,
         )
         self.admission = AdmissionController(
-            self._count_places, self.clock, maximum_open=settings.max_open_calls
+            self._get_concurrency_limit,
+            self.clock,
+            maximum_open=settings.max_open_calls,
         )
         dependencies = ApiDependencies(
             settings=settings,
@@ -320,18 +331,18 @@
             configuration_watcher=self.configuration,
             sender=self.sender,
             stream_proxy=self.stream_proxy,
-            jobs=self.jobs,
+            jobs=self.job_store,
             admission=self.admission,
             revocation=self.revocation,
             deduplicator=CallDeduplicator(self.store, parts=settings.store_parts),
             metrics=self.metrics,
             clock=self.clock,
             wall_clock=self.get_wall_time,
-            choose_first_owner=self.owner.choose_first_owner,
+            choose_first_owner=self.job_manager.choose_first_owner,
             is_stopping=lambda: self.is_stopping,
         )
         operators = OperatorHandlers(
-            dependencies, self.events, self._read_state, self._render_metrics
+            dependencies, self.event_handler, self._get_state, self._render_metrics
         )
         listener = HTTPListener(
             ApiHandlers(dependencies, operators).handle,
@@ -345,10 +356,10 @@
 
     # Callbacks
 
-    async def _answer_ready(self, request: ClientRequest) -> Response:
+    async def _handle_ready(self, request: ClientRequest) -> Response:
         return Response(200 if self.is_ready() else 503)
 
-    async def _answer_peer(
+    async def _handle_peer(
         self, request: ClientRequest
     ) -> Response | StreamingResponse:
         if not is_store_call(request.path):
@@ -363,7 +374,7 @@
             )
             return make_error_response(error)
 
-    async def _answer_metrics(self, request: ClientRequest) -> Response:
+    async def _handle_metrics(self, request: ClientRequest) -> Response:
         text = self._render_metrics()
         return Response(200, text.encode(), (("Content-Type", "text/plain"),))
 
@@ -374,31 +385,31 @@
             "open_requests": sum(
                 listener.open_request_count for listener in self.listeners
             ),
-            "jobs_running": self.owner.count_running(),
-            "jobs_kept": len(self.jobs.table.jobs),
+            "jobs_running": self.job_manager.count_running(),
+            "jobs_kept": len(self.job_store.table.jobs),
             "upstreams_known": len(self.view.upstreams),
             "configuration_version": getattr(self.view.configuration, "version", 0),
             "configuration_revision": revision,
             "configuration_age_seconds": self.topology_watcher.operator.get_staleness(),
-            "jobs_age_seconds": self.jobs.get_staleness(),
-            "holds_lease": float(self.control.lease_manager.lease.is_held()),
+            "jobs_age_seconds": self.job_store.get_staleness(),
+            "holds_lease": float(self.lease_holder_tasks.lease_manager.lease.is_held()),
             "ready": float(self.is_ready()),
         }
-        return self.metrics.render(self.events.counters, gauges)
+        return self.metrics.render(self.event_handler.counters, gauges)
 
-    def _read_state(self) -> ProcessState:
-        fold = self.control.lease_manager.duty_state
+    def _get_state(self) -> ProcessState:
+        duty_state = self.lease_holder_tasks.lease_manager.duty_state
         return ProcessState(
             ready=self.is_ready(),
             stopping=self.is_stopping,
-            is_holder=self.control.lease_manager.lease.is_held(),
-            term=fold.term,
-            holder=fold.holder,
-            jobs=self.owner.count_running(),
+            is_holder=self.lease_holder_tasks.lease_manager.lease.is_held(),
+            term=duty_state.term,
+            holder=duty_state.holder,
+            jobs=self.job_manager.count_running(),
             entries=tuple(self.presence.list_live()),
         )
 
-    def _note_topology(self) -> None:
+    def _on_topology_changed(self) -> None:
         self.balancer.prune()
         configuration = self.view.configuration
         if configuration is not None and self.client_listener is not None:
@@ -407,28 +418,28 @@
             self.client_listener.max_header_bytes = limits.max_header_bytes
 
     def _may_load_jobs(self) -> bool:
-        """Whether what calls need is read, so that jobs may be loaded beside it."""
-        is_read = (
+        """Whether jobs may be loaded: only once the state that calls need is loaded."""
+        is_topology_loaded = (
             self.topology_watcher.operator.is_loaded
             and self.topology_watcher.upstreams.is_loaded
         )
-        return is_read and self.presence_publisher.is_presence_known()
+        return is_topology_loaded and self.presence_publisher.is_presence_known()
 
-    def _note_job(self, job: Job) -> None:
-        self.owner.on_job_changed(job)
+    def _on_job_changed(self, job: Job) -> None:
+        self.job_manager.on_job_changed(job)
 
-    def _count_run(self, account: AccountId, age: float) -> None:
-        self.presence_publisher.counter.count(account, self.get_wall_time() - age)
+    def _count_executed_request(self, account: AccountId, age: float) -> None:
+        self.presence_publisher.usage_counter.count(account, self.get_wall_time() - age)
 
-    def _count_places(self, service: ServiceName) -> int:
-        """Counts this entry's share of the places of a service's upstreams."""
-        slots = sum(
+    def _get_concurrency_limit(self, service: ServiceName) -> int:
+        """Returns this entry's share of the slots of a service's upstreams."""
+        slot_count = sum(
             upstream.slots for upstream in self.view.list_available_upstreams(service)
         )
-        entries = max(1, len(self.presence.list_live()))
-        return max(1, -(-slots // entries))
+        entry_count = max(1, len(self.presence.list_live()))
+        return max(1, -(-slot_count // entry_count))
 
-    def _is_withdrawn(self, key: KeyId) -> bool:
+    def _is_key_withdrawn(self, key: KeyId) -> bool:
         return self.configuration is None or self.configuration.is_withdrawn(key)
 
     def _find_key_error(self, key: KeyId) -> BuckthornstileError | None:
@@ -446,20 +457,20 @@
 
     # Tasks
 
-    async def _keep_running(self, work: Callable[[], Awaitable[None]]) -> None:
+    async def _keep_running(self, task: Callable[[], Awaitable[None]]) -> None:
         while True:
             try:
-                await work()
+                await task()
             except Exception as error:
-                log_event("task.failed", task=work.__qualname__, reason=repr(error))
-            await asyncio.sleep(RESTART_PAUSE)
+                log_event("task.failed", task=task.__qualname__, reason=repr(error))
+            await asyncio.sleep(RESTART_DELAY)
 
     async def _probe_store(self) -> None:
         await self.proxy_selector.run_probes(self.store.probe)
 
     async def _check_keys(self) -> None:
         while True:
-            await asyncio.sleep(KEY_CHECK_PERIOD)
+            await asyncio.sleep(KEY_CHECK_INTERVAL)
             self.revocation.cancel_revoked()
 
     async def _drain(self) -> None:
@@ -469,36 +480,39 @@
         )
         self.is_stopping = True
         self.presence_publisher.is_leaving = True
-        self.owner.is_leaving = True
-        self.control.lease_manager.is_leaving = True
+        self.job_manager.is_leaving = True
+        self.lease_holder_tasks.lease_manager.is_leaving = True
         for listener in self.listeners:
-            if listener.handler != self._answer_ready:
+            if listener.handler != self._handle_ready:
                 listener.start_draining()
-        await self.owner.checkpoint_all()
+        await self.job_manager.checkpoint_all()
         await self.presence_publisher.publish()
-        began = self.clock()
-        end = began + self.settings.stop_grace - STOP_MARGIN
-        await self._finish_work(began + DRAIN_TIME, end)
-        # From here on no request is read that could not be answered any more.
+        drain_started_at = self.clock()
+        deadline = drain_started_at + self.settings.stop_grace - STOP_MARGIN
+        await self._wait_until_idle(drain_started_at + MIN_DRAIN_TIME, deadline)
+        # The response to a request read after this point might not be sent in time.
         for listener in self.listeners:
             listener.stop_reading()
-        await self._finish_work(self.clock(), end)
+        await self._wait_until_idle(self.clock(), deadline)
         await self.presence_publisher.publish()
         for listener in self.listeners:
             await listener.close()
 
-    async def _finish_work(self, earliest: float, latest: float) -> None:
-        """Waits until nothing is open, between two times."""
+    async def _wait_until_idle(self, earliest: float, latest: float) -> None:
+        """Waits until no request is open and no job runs.
+
+        Returns between the times ``earliest`` and ``latest``, in seconds of ``clock``.
+        """
         while self.clock() < latest:
-            open_work = sum(listener.open_request_count for listener in self.listeners)
-            open_work += self.owner.count_running()
-            if not open_work and self.clock() >= earliest:
+            open_count = sum(listener.open_request_count for listener in self.listeners)
+            open_count += self.job_manager.count_running()
+            if not open_count and self.clock() >= earliest:
                 return
-            await asyncio.sleep(STOP_POLL)
+            await asyncio.sleep(STOP_POLL_INTERVAL)
 
 
 def make_ssl_options(settings: EntrySettings) -> ssl.SSLContext | None:
-    """Makes the TLS options of the product's own interface, if it has any."""
+    """Returns the TLS context of the API listener, or None if TLS is not configured."""
     if not settings.tls_certificate:
         return None
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
@@ -507,14 +521,14 @@
 
 
 def run_entry(settings: EntrySettings) -> None:
-    """Runs an entry until it is told to stop.
+    """Runs an entry until SIGTERM.
 
     Args:
-        settings: Its settings.
+        settings: Settings of the entry.
     """
-    events = set_up_event_logging(settings.process)
+    event_handler = set_up_event_logging(settings.process)
 
     async def run() -> None:
-        await Entry(settings, events).run()
+        await Entry(settings, event_handler).run()
 
     asyncio.run(run())
--- a/buckthornstile/entry/_http_listener.py
+++ b/buckthornstile/entry/_http_listener.py
@@ -1,4 +1,4 @@
-"""The HTTP doors of an entry: read requests and write their answers."""
+"""HTTP listeners of an entry: read requests and write responses."""
 
 import asyncio
 import contextlib
@@ -25,23 +25,24 @@
 from buckthornstile.messages import Headers, Response, StreamingResponse
 
 MAX_HEADER_BYTES = 64 << 10
-"""Bytes; a longer head cannot be read far enough to be answered."""
+"""A longer request head is not read to its end, so no response could be sent."""
 MAX_BODY_BYTES = 64 << 20
-BACKLOG = 1024
+LISTEN_BACKLOG = 1024
+"""Number of connections that may wait to be accepted."""
 
 AnyResponse = Response | StreamingResponse
 AnyRequest = Any
-"""What the door's protocol makes of a request; it has an ``id`` and a ``path``."""
+"""A request as decoded by the codec of a listener; it has an ``id`` and a ``path``."""
 
 
 @dataclass(frozen=True, slots=True)
 class HTTPCodec:
-    """How requests are read and answers written at a door.
+    """Functions with which a listener decodes requests and encodes responses.
 
     Args:
-        decode: Makes a request of method, target, headers and body.
-        encode: Makes the headers of an answer to a request.
-        render_error: Makes the answer to a request that failed.
+        decode: Returns the request with a method, a target, headers and a body.
+        encode: Returns the headers of a response to a request.
+        render_error: Returns the response to a request that failed.
     """
 
     decode: Callable[[str, str, HTTPHeaders, bytes], AnyRequest]
@@ -53,16 +54,16 @@
 
 
 class HTTPListener(HTTPServerConnectionDelegate):
-    """Serves one address.
+    """HTTP server on one address.
 
-    A handler's task is cancelled when its client leaves.
+    The task that handles a request is cancelled when the client disconnects.
 
     Args:
-        handler: Answers a request.
-        address: Where to listen, as ``IP:port``; port 0 takes a free one.
-        codec: How requests are read and answers written.
+        handler: Returns the response to a request.
+        address: Address to listen on, as ``IP:port``; port 0 selects a free port.
+        codec: Decodes requests and encodes responses.
         idle_timeout: Seconds after which an idle connection is closed.
-        ssl_options: TLS options, or None for plain HTTP.
+        ssl_options: TLS context, or None for plain HTTP.
     """
 
     def __init__(
@@ -81,8 +82,8 @@
         self.max_header_bytes = MAX_HEADER_BYTES
         self.is_draining = False
         self.is_stopped = False
-        self._idle: dict[object, HTTPConnection] = {}
-        self._begun: set[_Message] = set()
+        self._idle_connections: dict[object, HTTPConnection] = {}
+        self._open_requests: set[_RequestDelegate] = set()
         self._server = HTTPServer(
             self,  # type: ignore[arg-type]
             idle_connection_timeout=idle_timeout,
@@ -92,27 +93,27 @@
         )
 
     def listen(self) -> int:
-        """Begins to accept connections, and gives the port."""
+        """Starts to accept connections and returns the port."""
         host, _, port = self.address.rpartition(":")
-        sockets = bind_sockets(int(port), host, backlog=BACKLOG)
+        sockets = bind_sockets(int(port), host, backlog=LISTEN_BACKLOG)
         self._server.add_sockets(sockets)
         return int(sockets[0].getsockname()[1])
 
     def start_draining(self) -> None:
-        """Tells clients with each answer that the connection ends with it."""
+        """Closes connections after their next response, which announces it."""
         self.is_draining = True
         self._server.conn_params.no_keep_alive = True
 
     @property
     def open_request_count(self) -> int:
-        """Requests whose head was read and whose answer is not written yet."""
-        return len(self._begun)
+        """Number of requests whose head was read and whose response is not written."""
+        return len(self._open_requests)
 
     def stop_reading(self) -> None:
-        """Reads no further request: closes all connections without one."""
+        """Stops reading requests and closes all connections without an open one."""
         self.is_stopped = True
         self._server.stop()
-        for connection in list(self._idle.values()):
+        for connection in list(self._idle_connections.values()):
             connection.close()  # type: ignore[attr-defined]
 
     async def close(self) -> None:
@@ -125,28 +126,29 @@
     def start_request(
         self, server_conn: object, request_conn: HTTPConnection
     ) -> HTTPMessageDelegate:
-        # Called when the connection begins to wait for a request: one that was just
-        # accepted does so an iteration of the event loop later.
-        self._idle[server_conn] = request_conn
+        # Called when a connection starts to wait for a request. A connection that was
+        # just accepted does so one event loop iteration later, perhaps after
+        # stop_reading.
+        self._idle_connections[server_conn] = request_conn
         if self.is_stopped:
             request_conn.close()  # type: ignore[attr-defined]
-        return _Message(self, server_conn, request_conn)
+        return _RequestDelegate(self, server_conn, request_conn)
 
     def on_close(self, server_conn: object) -> None:
-        self._idle.pop(server_conn, None)
+        self._idle_connections.pop(server_conn, None)
 
-    def on_request_started(self, message: "_Message") -> None:
-        """Notes that the head of a request was read."""
-        self._idle.pop(message.server_connection, None)
-        self._begun.add(message)
+    def on_request_started(self, delegate: "_RequestDelegate") -> None:
+        """Registers a request whose head was read."""
+        self._idle_connections.pop(delegate.server_connection, None)
+        self._open_requests.add(delegate)
 
-    def on_request_finished(self, message: "_Message") -> None:
-        """Notes that a request was answered, or that its client has left."""
-        self._begun.discard(message)
+    def on_request_finished(self, delegate: "_RequestDelegate") -> None:
+        """Removes a request that has its response or whose client disconnected."""
+        self._open_requests.discard(delegate)
 
 
-class _Message(HTTPMessageDelegate):
-    """One request and its answer."""
+class _RequestDelegate(HTTPMessageDelegate):
+    """Reads one request and writes its response."""
 
     def __init__(
         self,
@@ -157,11 +159,11 @@
         self.listener = listener
         self.server_connection = server_connection
         self.connection = connection
-        self.line: RequestStartLine | None = None
+        self.start_line: RequestStartLine | None = None
         self.headers = HTTPHeaders()
         self.body: list[bytes] = []
-        self.length = 0
-        self.is_refused = False
+        self.body_length = 0
+        self.is_rejected = False
         self.task: asyncio.Task[None] | None = None
 
     def headers_received(
@@ -170,74 +172,74 @@
         headers: HTTPHeaders,
     ) -> Awaitable[None] | None:
         assert isinstance(start_line, RequestStartLine)
-        self.line, self.headers = start_line, headers
+        self.start_line, self.headers = start_line, headers
         self.listener.on_request_started(self)
         if self._count_header_bytes() > self.listener.max_header_bytes:
-            return self._refuse(ErrorCode.HEADERS_TOO_LARGE, "the headers are too long")
+            return self._reject(ErrorCode.HEADERS_TOO_LARGE, "the headers are too long")
         declared = headers.get("Content-Length", "")
         if declared.isdigit() and int(declared) > self.listener.max_body_bytes:
-            return self._refuse_body()
+            return self._reject_body()
         return None
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        if self.is_refused:
+        if self.is_rejected:
             return None
-        self.length += len(chunk)
-        if self.length > self.listener.max_body_bytes:
-            return self._refuse_body()
+        self.body_length += len(chunk)
+        if self.body_length > self.listener.max_body_bytes:
+            return self._reject_body()
         self.body.append(chunk)
         return None
 
     def finish(self) -> None:
-        if self.is_refused:
+        if self.is_rejected:
             return
         self.task = asyncio.create_task(self._serve())
         self.task.add_done_callback(lambda _: self.listener.on_request_finished(self))
-        self.connection.set_close_callback(self._note_left)  # type: ignore[attr-defined]
+        self.connection.set_close_callback(self._on_client_left)  # type: ignore[attr-defined]
 
     def on_connection_close(self) -> None:
         self.body.clear()
         self.listener.on_request_finished(self)
 
-    def _note_left(self) -> None:
+    def _on_client_left(self) -> None:
         if self.task is not None:
             self.task.cancel()
 
     def _count_header_bytes(self) -> int:
         return sum(len(name) + len(value) + 4 for name, value in self.headers.get_all())
 
-    def _refuse_body(self) -> Awaitable[None]:
+    def _reject_body(self) -> Awaitable[None]:
         limit = self.listener.max_body_bytes
-        return self._refuse(
+        return self._reject(
             ErrorCode.BODY_TOO_LARGE, f"the body is longer than {limit} bytes"
         )
 
-    async def _refuse(self, code: ErrorCode, message: str) -> None:
-        """Answers before the request is read whole, and ends the connection."""
-        self.is_refused = True
+    async def _reject(self, code: ErrorCode, message: str) -> None:
+        """Sends an error before the whole request is read; closes the connection."""
+        self.is_rejected = True
         self.body.clear()
         request = self._decode(b"")
-        reply = self.listener.codec.render_error(BuckthornstileError(code, message))
+        response = self.listener.codec.render_error(BuckthornstileError(code, message))
         log_event("request.too_large", request=request.id, reason=message)
         try:
-            await self._write(request, reply, is_last=True)
+            await self._write(request, response, is_last=True)
         finally:
             self.listener.on_request_finished(self)
 
     def _decode(self, body: bytes) -> AnyRequest:
-        assert self.line is not None
+        assert self.start_line is not None
         return self.listener.codec.decode(
-            self.line.method, self.line.path, self.headers, body
+            self.start_line.method, self.start_line.path, self.headers, body
         )
 
     async def _serve(self) -> None:
         request = self._decode(b"".join(self.body))
         try:
-            reply = await self._handle(request)
-            if isinstance(reply, StreamingResponse):
-                await self._write_stream(request, reply)
+            response = await self._handle(request)
+            if isinstance(response, StreamingResponse):
+                await self._write_stream(request, response)
             else:
-                await self._write(request, reply, is_last=self.listener.is_draining)
+                await self._write(request, response, is_last=self.listener.is_draining)
         except asyncio.CancelledError:
             log_event("client.left", request=request.id, path=request.path[:40])
 
@@ -248,50 +250,53 @@
             log_event("request.failed", request=request.id, reason=repr(error))
             failure = BuckthornstileError(
                 ErrorCode.INTERNAL,
-                "the entry failed on the request",
+                "the entry failed to handle the request",
                 verdict=Verdict.MAY_HAVE_RUN,
             )
             return self.listener.codec.render_error(failure)
 
-    def _make_head(
-        self, request: AnyRequest, reply: AnyResponse, is_last: bool
+    def _make_response_head(
+        self, request: AnyRequest, response: AnyResponse, is_last: bool
     ) -> tuple[ResponseStartLine, HTTPHeaders]:
         headers = HTTPHeaders()
-        for name, value in self.listener.codec.encode(request, reply):
+        for name, value in self.listener.codec.encode(request, response):
             headers.add(name, value)
         if is_last:
             headers["Connection"] = "close"
-        reason = responses.get(reply.status, "Unknown")
-        return ResponseStartLine("HTTP/1.1", reply.status, reason), headers
+        reason = responses.get(response.status, "Unknown")
+        return ResponseStartLine("HTTP/1.1", response.status, reason), headers
 
     async def _write(
-        self, request: AnyRequest, reply: Response, *, is_last: bool
+        self, request: AnyRequest, response: Response, *, is_last: bool
     ) -> None:
-        line, headers = self._make_head(request, reply, is_last)
-        if reply.status not in (204, 304):
-            headers["Content-Length"] = str(len(reply.body))
+        line, headers = self._make_response_head(request, response, is_last)
+        if response.status not in (204, 304):
+            headers["Content-Length"] = str(len(response.body))
         with contextlib.suppress(StreamClosedError):
-            sent = self.connection.write_headers(line, headers, reply.body or None)
+            sent = self.connection.write_headers(line, headers, response.body or None)
             self.connection.finish()
             await sent
             if is_last:
                 self.connection.close()  # type: ignore[attr-defined]
 
     async def _write_stream(
-        self, request: AnyRequest, reply: StreamingResponse
+        self, request: AnyRequest, response: StreamingResponse
     ) -> None:
-        line, headers = self._make_head(request, reply, self.listener.is_draining)
-        # Small events must not wait for the acknowledgement of earlier ones.
+        line, headers = self._make_response_head(
+            request, response, self.listener.is_draining
+        )
+        # Otherwise small events wait until the client acknowledges earlier ones.
         self.connection.stream.set_nodelay(True)  # type: ignore[attr-defined]
         with contextlib.suppress(StreamClosedError):
-            async with contextlib.aclosing(reply.chunks) as chunks:
+            async with contextlib.aclosing(response.chunks) as chunks:
                 await self.connection.write_headers(line, headers)
                 try:
                     async for chunk in chunks:
                         await self.connection.write(chunk)
                 except BuckthornstileError as error:
                     log_event("stream.broken", request=request.id, reason=error.message)
-                    # A stream that is not whole must end visibly.
+                    # Without the final chunk the client sees that the stream is
+                    # incomplete.
                     self.connection.close()  # type: ignore[attr-defined]
                     return
             self.connection.finish()
--- a/buckthornstile/entry/_presence_publisher.py
+++ b/buckthornstile/entry/_presence_publisher.py
@@ -1,4 +1,4 @@
-"""Tells other entries that this one lives, and takes in what they tell."""
+"""Publishes the presence of this entry and reads that of the others."""
 
 import asyncio
 import contextlib
@@ -20,28 +20,32 @@
 from buckthornstile.settings import EntrySettings
 from buckthornstile.topology import TopologyView
 
-SETTLE_TIME = 0.3
-"""Seconds after the first reading of presence records until they are acted on."""
-PRESENCE_WAIT = 0.4
-PRESENCE_PAUSE = 0.1
+PRESENCE_GRACE_PERIOD = 0.3
+"""Seconds between the first read of all presence records and their first use."""
+PRESENCE_POLL_TIMEOUT = 0.4
+"""Seconds for which a long poll of presence records may wait."""
+PRESENCE_POLL_INTERVAL = 0.1
+"""Seconds between two reads of presence records."""
 APPEND_TIMEOUT = 0.5
-"""Seconds; a second try, by another way to the store, must come before others take
-this process as gone."""
-RETRY_PAUSE = 0.2
-"""Seconds before a record is made again that the store did not take."""
+"""Seconds; short enough for a second attempt, on another path to the store, before
+other entries consider this process gone."""
+RETRY_DELAY = 0.2
+"""Seconds between a failed append and the next record."""
 
 
 class PresencePublisher:
-    """Appends this process's presence records and reads those of all.
+    """Appends presence records of this process and reads those of all entries.
 
     Args:
-        name: This process's name.
-        settings: Its settings.
-        store: The store.
-        view: Takes what others saw engines hold.
-        clock: The time in seconds; it must go on while suspended.
-        wall_clock: Seconds since the epoch.
-        list_unpublished_versions: Gives what engines hold before their entries say so.
+        name: Name of this process.
+        settings: Settings of this process.
+        store: Client of the store.
+        view: Receives the model versions that other entries saw engines load.
+        clock: Returns the time in seconds; it must advance while the machine is
+            suspended.
+        wall_clock: Returns seconds since the epoch.
+        list_unpublished_versions: Returns the model versions that engines have loaded
+            and that their registrations don't show yet.
     """
 
     def __init__(
@@ -63,58 +67,60 @@
         self.wall_clock = wall_clock
         self.list_unpublished_versions = list_unpublished_versions
         self.is_leaving = False
-        self.address = settings.peer_address
+        self.peer_address = settings.peer_address
         self.presence = PresenceTable(clock)
-        self.counter = UsageCounter(settings.usage_window)
-        self.totals = UsageTotals(settings.usage_window)
+        self.usage_counter = UsageCounter(settings.usage_window)
+        self.usage_totals = UsageTotals(settings.usage_window)
         self.consumer = PartitionConsumer(
             store,
             PRESENCE_TOPIC,
             0,
             clock=clock,
-            max_wait=PRESENCE_WAIT,
-            poll_interval=PRESENCE_PAUSE,
+            max_wait=PRESENCE_POLL_TIMEOUT,
+            poll_interval=PRESENCE_POLL_INTERVAL,
             on_raw_record=self._apply,
             on_caught_up=self.presence.on_caught_up,
         )
-        self._news = asyncio.Event()
+        self._publish_requested = asyncio.Event()
 
     def is_presence_known(self) -> bool:
-        """Whether the entries that live are known well enough to act on."""
+        """Whether the presence records read so far show which entries are live."""
         if self.consumer.reconnected_at < 0:
             return False
-        return self.clock() - self.consumer.reconnected_at > SETTLE_TIME
+        return self.clock() - self.consumer.reconnected_at > PRESENCE_GRACE_PERIOD
 
     def request_publish(self) -> None:
-        """Asks for a record at once, since there is news."""
-        self._news.set()
+        """Requests that a record is published now, before the interval has passed."""
+        self._publish_requested.set()
 
     async def run(self) -> None:
-        """Appends records until cancelled."""
+        """Appends a record in each interval and on request, until cancelled."""
         while True:
             is_stored = await self.publish()
-            self._news.clear()
+            self._publish_requested.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(
-                    PRESENCE_INTERVAL if is_stored else RETRY_PAUSE
+                    PRESENCE_INTERVAL if is_stored else RETRY_DELAY
                 ):
-                    await self._news.wait()
+                    await self._publish_requested.wait()
 
     async def publish(self) -> bool:
-        """Appends one record; a failure is logged and the next one makes it good.
+        """Appends one record.
+
+        A failure is only logged, as the next record holds the same counts.
 
         Returns:
-            Whether the store took it.
+            Whether the store accepted the record.
         """
         now = self.wall_clock()
         record = PresenceRecord(
             self.name,
             self.settings.process,
             is_leaving=self.is_leaving,
-            counts=self.counter.get_counts(now),
+            counts=self.usage_counter.get_counts(now),
             versions=self.list_unpublished_versions(),
             failure_domain=self.settings.failure_domain,
-            address=self.address,
+            address=self.peer_address,
             made_at=now,
         )
         try:
@@ -133,6 +139,6 @@
             log_event("presence.unreadable", offset=offset, reason=error)
             return
         self.presence.apply(record)
-        self.totals.apply(record.name, record.counts, record.made_at)
+        self.usage_totals.apply(record.name, record.counts, record.made_at)
         for upstream_id, (started_at_ms, versions) in record.versions.items():
             self.view.record_versions(upstream_id, started_at_ms, versions)
--- a/buckthornstile/entry/tests/in_process.py
+++ b/buckthornstile/entry/tests/in_process.py
@@ -1,4 +1,4 @@
-"""A small deployment in one event loop: store, workers, entries, clients."""
+"""A deployment in one event loop: stand-ins of store and workers, and real entries."""
 
 import asyncio
 import errno
@@ -19,27 +19,27 @@
 from buckthornstile.logs import EventLogHandler
 from buckthornstile.platform._node_settings import decode_node_settings
 from standins.faults import FaultInjector
-from standins.store import make_application as make_store_client
+from standins.store import make_application as make_store_application
 from standins.worker import WorkerState
-from standins.worker import make_application as make_worker
+from standins.worker import make_application as make_worker_application
 
 HOST = "mill.example"
 API_KEY, OTHER_API_KEY = "key-of-mill", "key-of-quay"
 PLAIN_SERVICE, MODEL_SERVICE = "desk", "models"
 MODEL_NAME = "llm"
-SETTLE_TIMEOUT = 8.0  # seconds for anything to settle on a busy machine
-TEST_TIME = 40.0  # seconds for one test
+WAIT_TIMEOUT = 8.0  # seconds; enough for any wait on a busy machine
+TEST_TIMEOUT = 40.0  # seconds
 
 
-def find_port() -> int:
-    """Finds a free port on loopback."""
+def find_free_port() -> int:
+    """Returns a port that is free on the loopback interface."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return probe.getsockname()[1]
 
 
 class InProcessWorker:
-    """A worker's stand-in and its entry in the store."""
+    """A stand-in of a worker, with its registration in the store."""
 
     def __init__(
         self, deployment: "InProcessDeployment", name: str, service: str, **state: Any
@@ -47,31 +47,31 @@
         self.deployment = deployment
         self.name = name
         self.service = service
-        self.zone = state.pop("zone", "bench-a")
+        self.failure_domain = state.pop("failure_domain", "bench-a")
         self.state = WorkerState(name, **state)
-        self.application = make_worker(self.state)
+        self.application = make_worker_application(self.state)
         self.faults: FaultInjector = self.application.faults  # type: ignore[attr-defined]
         self.port = 0
         self.server: HTTPServer | None = None
 
     def start(self) -> None:
-        """Begins to listen and writes the entry."""
+        """Starts to listen and writes the registration."""
         sockets = bind_sockets(self.port, "127.0.0.1")
         self.port = sockets[0].getsockname()[1]
         self.server = HTTPServer(self.application)
         self.server.add_sockets(sockets)
-        self.write_entry()
+        self.write_registration()
 
-    def write_entry(self, **changes: Any) -> None:
-        """Writes what the worker says of itself."""
+    def write_registration(self, **changes: Any) -> None:
+        """Writes the registration record of the worker, with some fields changed."""
         models = [
             {"name": name, "version": version, "adapters": []}
             for name, version in self.state.versions.items()
         ]
-        entry = {
+        registration = {
             "service": self.service,
             "address": f"127.0.0.1:{self.port}",
-            "zone": self.zone,
+            "zone": self.failure_domain,
             "version": "v1",
             "slots": self.state.slots,
             "state": "ready",
@@ -80,22 +80,24 @@
             "born": 1,
             "models": models,
         } | changes
-        self.deployment.put("keyed.servers", self.name, json.dumps(entry).encode())
+        self.deployment.put_record(
+            "keyed.servers", self.name, json.dumps(registration).encode()
+        )
 
-    def remove_entry(self) -> None:
-        """Removes the entry."""
-        self.deployment.put("keyed.servers", self.name, b"")
+    def remove_registration(self) -> None:
+        """Removes the registration."""
+        self.deployment.put_record("keyed.servers", self.name, b"")
 
     def list_runs(self, finished: bool | None = None) -> list[dict[str, Any]]:
-        """Lists the runs that the worker saw."""
+        """Returns the runs in the worker's journal, all or by whether they finished."""
         entries = self.application.journal.entries  # type: ignore[attr-defined]
         runs = [entry for entry in entries if entry["what"] == "run"]
         if finished is None:
             return runs
         return [run for run in runs if run["finished"] is finished]
 
-    def list_orders(self) -> list[dict[str, Any]]:
-        """Lists the orders that the worker carried out."""
+    def list_load_orders(self) -> list[dict[str, Any]]:
+        """Returns the model load orders that the worker executed."""
         entries = self.application.journal.entries  # type: ignore[attr-defined]
         return [entry for entry in entries if entry["what"] == "order"]
 
@@ -108,20 +110,20 @@
 
 
 class InProcessDeployment:
-    """The deployment."""
+    """A store, workers and entries, each on a loopback port of its own."""
 
     def __init__(self) -> None:
-        self.application = make_store_client()
-        self.log = self.application.log  # type: ignore[attr-defined]
-        self.faults: FaultInjector = self.application.faults  # type: ignore[attr-defined]
-        self.journal = self.application.journal  # type: ignore[attr-defined]
+        self.store_application = make_store_application()
+        self.topic_store = self.store_application.log  # type: ignore[attr-defined]
+        self.store_faults: FaultInjector = self.store_application.faults  # type: ignore[attr-defined]
+        self.store_journal = self.store_application.journal  # type: ignore[attr-defined]
         self.store_port = 0
         self.store_server: HTTPServer | None = None
         self.workers: dict[str, InProcessWorker] = {}
         self.entries: dict[str, Entry] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
-        self.pool = ConnectionPool()
-        self.version = 0
+        self.connection_pool = ConnectionPool()
+        self.configuration_version = 0
         self.routes = make_routes()
         self.accounts = [
             {"name": "mill", "apiKeys": [API_KEY]},
@@ -129,44 +131,46 @@
         ]
 
     async def __aenter__(self) -> "InProcessDeployment":
-        self.descriptor = os.open(os.devnull, os.O_WRONLY)
+        self.null_descriptor = os.open(os.devnull, os.O_WRONLY)
         self.start_store()
         self.put_configuration()
         return self
 
     async def __aexit__(self, *_: object) -> None:
         for name in list(self.tasks):
-            await self.kill(name)
+            await self.kill_entry(name)
         for worker in self.workers.values():
             await worker.stop()
         await self.stop_store()
-        self.pool.close()
-        os.close(self.descriptor)
+        self.connection_pool.close()
+        os.close(self.null_descriptor)
 
     def start_store(self) -> None:
-        """Starts the store where it was."""
+        """Starts the store, on the port of its last start if there was one."""
         sockets = bind_sockets(self.store_port, "127.0.0.1")
         self.store_port = sockets[0].getsockname()[1]
-        self.store_server = HTTPServer(self.application)
+        self.store_server = HTTPServer(self.store_application)
         self.store_server.add_sockets(sockets)
 
     async def stop_store(self) -> None:
-        """Makes the store refuse all connections; it forgets nothing."""
+        """Stops the store's server; its records and its port are kept."""
         if self.store_server is not None:
             self.store_server.stop()
             await self.store_server.close_all_connections()
             self.store_server = None
 
-    def put(self, topic: str, key: str, value: bytes) -> None:
-        """Writes a keyed record, as operators and workers do."""
-        name = key.encode()
-        self.log.get(topic, 0).append([bytes([len(name)]) + name + value])
+    def put_record(self, topic: str, key: str, value: bytes) -> None:
+        """Appends a keyed record to a topic, as operators and workers do."""
+        encoded_key = key.encode()
+        self.topic_store.get(topic, 0).append(
+            [bytes([len(encoded_key)]) + encoded_key + value]
+        )
 
     def put_configuration(self, **changes: Any) -> None:
-        """Writes the next version of the configuration."""
-        self.version += 3
+        """Writes the next version of the configuration, with some fields changed."""
+        self.configuration_version += 3
         configuration = {
-            "version": self.version,
+            "version": self.configuration_version,
             "routes": self.routes,
             "services": [
                 {"name": PLAIN_SERVICE, "healthPath": "/healthz", "maxConnections": 50},
@@ -180,15 +184,15 @@
             "limits": {"maxBodyBytes": 1 << 20},
             "tenants": self.accounts,
         } | changes
-        self.put("keyed.op", "config", json.dumps(configuration).encode())
+        self.put_record("keyed.op", "config", json.dumps(configuration).encode())
 
-    def name_version(self, version: int) -> None:
-        """Names a version, as a trainer does."""
+    def set_version(self, version: int) -> None:
+        """Writes the model version to load, as a trainer does."""
         value = json.dumps({"model": MODEL_NAME, "version": version}).encode()
-        self.put("keyed.op", f"version/{MODEL_NAME}", value)
+        self.put_record("keyed.op", f"version/{MODEL_NAME}", value)
 
     def add_worker(self, name: str, service: str, **state: Any) -> InProcessWorker:
-        """Starts a worker."""
+        """Starts a worker and registers it."""
         if service == MODEL_SERVICE:
             state.setdefault("versions", {MODEL_NAME: 1})
         worker = self.workers[name] = InProcessWorker(self, name, service, **state)
@@ -198,8 +202,8 @@
     async def add_entry(self, name: str, *, ready: bool = True) -> Entry:
         """Starts an entry and waits until it is ready.
 
-        Another program may take a port after it was found free; the entry is then
-        started anew on other ports.
+        If another program has taken one of the free ports in the meantime, the entry
+        is started again on other ports.
         """
         while True:
             try:
@@ -207,7 +211,7 @@
             except OSError as error:
                 if error.errno != errno.EADDRINUSE:
                     raise
-                await self.entries.pop(name).kill()
+                await self.entries.pop(name).close()
 
     async def _start_entry(self, name: str, *, ready: bool) -> Entry:
         settings = decode_node_settings(
@@ -215,20 +219,22 @@
                 "node": name,
                 "zone": "bench-a",
                 "heartbeatMs": 500,
-                "internalPorts": [find_port()],
+                "internalPorts": [find_free_port()],
                 "listen": {
-                    "front": f"127.0.0.1:{find_port()}",
-                    "ready": f"127.0.0.1:{find_port()}",
+                    "front": f"127.0.0.1:{find_free_port()}",
+                    "ready": f"127.0.0.1:{find_free_port()}",
                 },
                 "platform": {"address": f"127.0.0.1:{self.store_port}", "parts": 2},
                 "cloud": {"address": f"127.0.0.1:{self.store_port}"},
                 "bounds": {"usageWindowS": 1, "leaseMs": 900, "graceS": 5},
             }
         )
-        peer_address = f"127.0.0.1:{find_port()}"
+        peer_address = f"127.0.0.1:{find_free_port()}"
         settings = settings.model_copy(update={"peer_address": peer_address})
-        events = EventLogHandler(settings.process, descriptor=self.descriptor)
-        entry = self.entries[name] = Entry(settings, events)
+        event_handler = EventLogHandler(
+            settings.process, descriptor=self.null_descriptor
+        )
+        entry = self.entries[name] = Entry(settings, event_handler)
         task = self.tasks[name] = asyncio.create_task(entry.run())
         await asyncio.sleep(0)
         if task.done():
@@ -243,32 +249,32 @@
             )
         return entry
 
-    async def kill(self, name: str) -> None:
-        """Ends an entry at once, without a word to anybody."""
+    async def kill_entry(self, name: str) -> None:
+        """Stops an entry abruptly, without a drain or a last presence record."""
         entry, task = self.entries.pop(name), self.tasks.pop(name)
         task.cancel()
         await asyncio.wait({task})
-        await entry.kill()
+        await entry.close()
 
     async def wait_for(
-        self, condition: Callable[[], object], *, timeout: float = SETTLE_TIMEOUT
+        self, condition: Callable[[], object], *, timeout: float = WAIT_TIMEOUT
     ) -> None:
-        """Waits until a condition holds."""
+        """Waits until a condition holds, for at most ``timeout`` seconds."""
         async with asyncio.timeout(timeout):
             while not condition():
                 await asyncio.sleep(0.01)
 
-    async def retry(
-        self, step: Callable[[], Awaitable[bool]], *, timeout: float = SETTLE_TIMEOUT
+    async def retry_until_true(
+        self, step: Callable[[], Awaitable[bool]], *, timeout: float = WAIT_TIMEOUT
     ) -> None:
-        """Repeats a step until it gives True."""
+        """Repeats a step until it returns True, for at most ``timeout`` seconds."""
         async with asyncio.timeout(timeout):
             while not await step():
                 await asyncio.sleep(0.03)
 
     # Clients
 
-    async def send(
+    async def send_request(
         self,
         entry: str,
         method: str,
@@ -279,61 +285,69 @@
         body: bytes | None = None,
         headers: tuple[tuple[str, str], ...] = (),
     ) -> HTTPResponse:
-        """Sends a client's request."""
-        sent = [("Host", HOST), *headers]
+        """Sends a client's request to an entry, on a new connection."""
+        request_headers = [("Host", HOST), *headers]
         if request_id:
-            sent.append(("Request-Id", request_id))
+            request_headers.append(("Request-Id", request_id))
         if key is not None:
-            sent.append(("Credential", key))
-        request = HTTPRequest(method, target, sent, body)
+            request_headers.append(("Credential", key))
+        request = HTTPRequest(method, target, request_headers, body)
         address = self.entries[entry].settings.client_address
-        return await self.pool.send(address, request, new_connection=True)
+        return await self.connection_pool.send(address, request, new_connection=True)
 
-    async def call(self, entry: str, request_id: str, **options: Any) -> HTTPResponse:
-        """Sends a plain request."""
+    async def send_simple_request(
+        self, entry: str, request_id: str, **options: Any
+    ) -> HTTPResponse:
+        """Sends a POST request with a short body to a plain route."""
         options.setdefault("headers", (("Deadline-Ms", "2000"),))
         target = options.pop("target", "/orders/7")
-        return await self.send(
+        return await self.send_request(
             entry, "POST", target, request_id=request_id, body=b"hello", **options
         )
 
-    async def submit(self, entry: str, job: dict[str, Any], job_id: str) -> int:
-        """Submits a batch job and gives the status."""
+    async def submit_job(self, entry: str, job: dict[str, Any], job_id: str) -> int:
+        """Submits a batch job and returns the status."""
         body = json.dumps(job).encode()
-        answer = await self.send(
+        response = await self.send_request(
             entry, "POST", "/steps/x", request_id=job_id, body=body
         )
-        return answer.status
+        return response.status
 
-    async def find_owner(self, job_id: str) -> tuple[str, str]:
-        """Finds the entry that owns a job, and names another one beside it."""
-        found: list[str] = []
+    async def find_job_owner(self, job_id: str) -> tuple[str, str]:
+        """Returns the names of the entry that owns a job and of another entry."""
+        names: list[str] = []
 
         def find() -> bool:
             for name, entry in self.entries.items():
-                job = entry.jobs.table.find(JobId(job_id))
+                job = entry.job_store.table.find(JobId(job_id))
                 if job is not None and job.claim and job.claim.owner == entry.name:
-                    found[:] = [name, *(one for one in self.entries if one != name)]
-            return bool(found)
+                    names[:] = [
+                        name,
+                        *(other for other in self.entries if other != name),
+                    ]
+            return bool(names)
 
         await self.wait_for(find)
-        return found[0], found[1]
+        return names[0], names[1]
 
     async def read_results(
         self, entry: str, job_id: str, after: int = 0, wait: int = 0
     ) -> tuple[int, dict[str, Any]]:
-        """Reads results from a position on."""
-        answer = await self.send(
+        """Returns the status and the results of a job after a position.
+
+        The entry may hold the request for ``wait`` milliseconds.
+        """
+        response = await self.send_request(
             entry,
             "GET",
             f"/-/lots/{job_id}?after={after}",
             headers=(("Wait-Ms", str(wait)),),
         )
-        data = json.loads(bytes(answer.body)) if answer.status == 200 else {}
-        return answer.status, data
+        data = json.loads(bytes(response.body)) if response.status == 200 else {}
+        return response.status, data
 
-    async def read_all(self, entry: str, job_id: str, count: int) -> list[dict]:
-        """Reads until a number of results is listed."""
+    async def wait_for_results(self, entry: str, job_id: str, count: int) -> list[dict]:
+        """Reads the results of a job until at least ``count`` are listed."""
         results: list[dict] = []
 
         async def read() -> bool:
@@ -341,12 +355,12 @@
             results[:] = data.get("results", [])
             return status == 200 and len(results) >= count
 
-        await self.retry(read)
+        await self.retry_until_true(read)
         return results
 
 
 def make_routes() -> list[dict[str, Any]]:
-    """Makes a route of each kind."""
+    """Returns one route of each kind."""
     common = {"hostname": HOST, "timeoutMs": 2000, "targetLatencyMs": 200}
     return [
         common
@@ -388,13 +402,13 @@
 
 
 def make_job(
-    items: int = 3, *, prefix: str = "i", minimum: int = 0, scored: bool = True
+    items: int = 3, *, prefix: str = "i", minimum_version: int = 0, scored: bool = True
 ) -> dict[str, Any]:
-    """Makes a batch job's body."""
+    """Returns the JSON body of a batch job, as objects."""
     return {
         "step": 1,
         "model": MODEL_NAME,
-        "minVersion": minimum,
+        "minVersion": minimum_version,
         "desiredCount": 1,
         "items": [
             {
@@ -422,28 +436,31 @@
     }
 
 
-def make_text(item: str, events: int = 4) -> str:
-    """The text that a worker's stand-in makes of an item."""
+def make_expected_text(item: str, events: int = 4) -> str:
+    """Returns the text that a stand-in of a worker generates for an item."""
     return "\n".join(f"{item}-{number}" for number in range(1, events + 1))
 
 
-def pack_record(data: bytes) -> bytes:
-    """Encodes a record as it goes over the wire."""
+def encode_length_prefixed(data: bytes) -> bytes:
+    """Returns a record in the wire format, with its length in front."""
     return struct.pack(">I", len(data)) + data
 
 
 def with_deployment(
     test: Callable[[InProcessDeployment], Coroutine[Any, Any, None]],
 ) -> Callable[[], None]:
-    """Runs a test in a world of its own."""
+    """Runs a test with a deployment of its own, within ``TEST_TIMEOUT``."""
 
     @functools.wraps(test)
     def run() -> None:
-        async def play() -> None:
-            async with InProcessDeployment() as deployment, asyncio.timeout(TEST_TIME):
+        async def run_test() -> None:
+            async with (
+                InProcessDeployment() as deployment,
+                asyncio.timeout(TEST_TIMEOUT),
+            ):
                 await test(deployment)
 
-        asyncio.run(play())
+        asyncio.run(run_test())
 
     del run.__wrapped__  # type: ignore[attr-defined]
     return run
--- a/buckthornstile/entry/tests/test_calls.py
+++ b/buckthornstile/entry/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls through a whole entry: forwarding, refusals, bad workers, limits."""
+"""Calls through a whole entry: forwarding, rejections, failing workers, limits."""
 
 import asyncio
 import json
@@ -18,13 +18,15 @@
 
 
 @with_deployment
-async def test_call_is_forwarded_whole(deployment: InProcessDeployment) -> None:
+async def test_request_is_forwarded_with_body_and_headers(
+    deployment: InProcessDeployment,
+) -> None:
     worker = deployment.add_worker("w1", PLAIN_SERVICE)
     await deployment.add_entry("e1")
-    answer = await deployment.call("e1", "r1", target="/orders/7?x=1")
-    assert answer.status == 200
-    assert bytes(answer.body) == b"answer to hello"
-    assert answer.headers["Server-Stamp"].startswith("w1.")
+    response = await deployment.send_simple_request("e1", "r1", target="/orders/7?x=1")
+    assert response.status == 200
+    assert bytes(response.body) == b"answer to hello"
+    assert response.headers["Server-Stamp"].startswith("w1.")
     (run,) = worker.list_runs()
     headers = run["headers"]
     assert headers["Request-Id"] == "r1"
@@ -36,10 +38,13 @@
 
 
 @with_deployment
-async def test_check_before_each_send_keeps_a_call_back(
+async def test_failed_check_before_send_prevents_the_send(
     deployment: InProcessDeployment,
 ) -> None:
-    """A process that was paused in the middle of a call knows too little."""
+    """A process that was paused during a call may hold an old configuration.
+
+    The check before each attempt must then stop the call before a worker sees it.
+    """
     worker = deployment.add_worker("w1", PLAIN_SERVICE)
     entry = await deployment.add_entry("e1")
 
@@ -52,49 +57,55 @@
     deadline = asyncio.get_running_loop().time() + 2
     call = RoutedCall(request, route, AccountId("mill"), deadline, check)
     for send in (entry.sender.send, entry.stream_proxy.open):
-        with pytest.raises(BuckthornstileError) as caught:
+        with pytest.raises(BuckthornstileError) as error_info:
             await send(call)
-        assert caught.value.code is ErrorCode.CONFIGURATION_OLD
-        assert caught.value.verdict is Verdict.NOT_RUN
+        assert error_info.value.code is ErrorCode.CONFIGURATION_OLD
+        assert error_info.value.verdict is Verdict.NOT_RUN
     assert worker.list_runs() == []
     (upstream,) = entry.view.list_available_upstreams(route.services[0][0])
     assert not entry.balancer.is_ejected(upstream)
 
 
 @with_deployment
-async def test_client_cannot_name_its_own_account(
+async def test_account_header_of_a_client_is_replaced(
     deployment: InProcessDeployment,
 ) -> None:
     worker = deployment.add_worker("w1", PLAIN_SERVICE)
     await deployment.add_entry("e1")
     headers = (("Tenant", "quay"), ("Deadline-Ms", "1000"))
-    assert (await deployment.call("e1", "r1", headers=headers)).status == 200
+    assert (
+        await deployment.send_simple_request("e1", "r1", headers=headers)
+    ).status == 200
     assert worker.list_runs()[0]["headers"]["Tenant"] == "mill"
 
 
 @with_deployment
-async def test_refusals_say_why(deployment: InProcessDeployment) -> None:
+async def test_rejected_requests_get_the_matching_status(
+    deployment: InProcessDeployment,
+) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
     await deployment.add_entry("e1")
-    assert (await deployment.call("e1", "r1", key="wrong")).status == 401
-    assert (await deployment.call("e1", "r2", key=None)).status == 401
-    assert (await deployment.call("e1", "r3", target="/nowhere/")).status == 404
-    answer = await deployment.send("e1", "GET", "/-/lots/unknown")
-    assert answer.status == 404
+    assert (await deployment.send_simple_request("e1", "r1", key="wrong")).status == 401
+    assert (await deployment.send_simple_request("e1", "r2", key=None)).status == 401
+    assert (
+        await deployment.send_simple_request("e1", "r3", target="/nowhere/")
+    ).status == 404
+    response = await deployment.send_request("e1", "GET", "/-/lots/unknown")
+    assert response.status == 404
     assert deployment.workers["w1"].list_runs() == []
 
 
 @with_deployment
-async def test_not_ready_and_never_404_before_a_configuration(
+async def test_entry_without_configuration_is_not_ready_and_returns_503(
     deployment: InProcessDeployment,
 ) -> None:
-    deployment.log.partitions.clear()
+    deployment.topic_store.partitions.clear()
     entry = await deployment.add_entry("e1", ready=False)
-    await deployment.wait_for(lambda: entry.jobs.is_loaded())
+    await deployment.wait_for(lambda: entry.job_store.is_loaded())
     assert not entry.is_ready()
-    answer = await deployment.call("e1", "r1")
-    assert answer.status == 503
-    assert "Retry-After" in answer.headers
+    response = await deployment.send_simple_request("e1", "r1")
+    assert response.status == 503
+    assert "Retry-After" in response.headers
     deployment.put_configuration()
     deployment.add_worker("w1", PLAIN_SERVICE)
     await deployment.wait_for(entry.is_ready)
@@ -103,7 +114,7 @@
 @pytest.mark.parametrize(
     "kind", ["full", "error", "reset", "truncate", "crossed", "unsigned"]
 )
-def test_repeatable_call_survives_a_bad_worker(kind: str) -> None:
+def test_repeatable_call_succeeds_despite_failing_workers(kind: str) -> None:
     @with_deployment
     async def test(deployment: InProcessDeployment) -> None:
         for name in ("w1", "w2"):
@@ -112,15 +123,17 @@
         deployment.add_worker("w3", PLAIN_SERVICE)
         await deployment.add_entry("e1")
         for number in range(4):
-            answer = await deployment.call("e1", f"r{number}")
-            assert answer.status == 200
-            assert bytes(answer.body) == b"answer to hello"
+            response = await deployment.send_simple_request("e1", f"r{number}")
+            assert response.status == 200
+            assert bytes(response.body) == b"answer to hello"
 
     test()
 
 
 @with_deployment
-async def test_silent_worker_is_hedged(deployment: InProcessDeployment) -> None:
+async def test_request_to_a_silent_worker_is_hedged(
+    deployment: InProcessDeployment,
+) -> None:
     for name in ("w1", "w2"):
         worker = deployment.add_worker(name, PLAIN_SERVICE)
         worker.faults.add({"kind": "silent", "seconds": 1.5, "count": 1})
@@ -128,7 +141,7 @@
     await deployment.add_entry("e1")
     started = asyncio.get_running_loop().time()
     for number in range(3):
-        assert (await deployment.call("e1", f"r{number}")).status == 200
+        assert (await deployment.send_simple_request("e1", f"r{number}")).status == 200
     assert asyncio.get_running_loop().time() - started < 1.4
 
 
@@ -140,16 +153,18 @@
             worker = deployment.add_worker(name, PLAIN_SERVICE)
             worker.faults.add({"kind": kind})
         await deployment.add_entry("e1")
-        answer = await deployment.call("e1", "r1", target="/once/1")
-        assert answer.status == 502
-        runs = [run for one in deployment.workers.values() for run in one.list_runs()]
+        response = await deployment.send_simple_request("e1", "r1", target="/once/1")
+        assert response.status == 502
+        runs = [
+            run for worker in deployment.workers.values() for run in worker.list_runs()
+        ]
         assert len(runs) == 1
 
     test()
 
 
 @with_deployment
-async def test_call_at_most_once_moves_on_from_a_refusal(
+async def test_call_at_most_once_is_retried_after_a_rejection(
     deployment: InProcessDeployment,
 ) -> None:
     for name in ("w1", "w2"):
@@ -158,71 +173,83 @@
         )
     deployment.add_worker("w3", PLAIN_SERVICE)
     await deployment.add_entry("e1")
-    assert (await deployment.call("e1", "r1", target="/once/1")).status == 200
+    assert (
+        await deployment.send_simple_request("e1", "r1", target="/once/1")
+    ).status == 200
 
 
 @with_deployment
-async def test_no_worker_is_a_refusal_with_a_time_to_come_back(
+async def test_call_without_a_free_worker_is_rejected_with_retry_after(
     deployment: InProcessDeployment,
 ) -> None:
     worker = deployment.add_worker("w1", PLAIN_SERVICE)
     worker.faults.add({"kind": "full"})
     await deployment.add_entry("e1")
-    answer = await deployment.call("e1", "r1")
-    assert answer.status == 503
-    assert float(answer.headers["Retry-After"]) > 0
+    response = await deployment.send_simple_request("e1", "r1")
+    assert response.status == 503
+    assert float(response.headers["Retry-After"]) > 0
     assert worker.list_runs() == []
 
 
 @with_deployment
-async def test_client_that_leaves_ends_the_run(deployment: InProcessDeployment) -> None:
+async def test_request_is_cancelled_when_its_client_disconnects(
+    deployment: InProcessDeployment,
+) -> None:
     worker = deployment.add_worker("w1", PLAIN_SERVICE, work_seconds=5.0)
     await deployment.add_entry("e1")
-    task = asyncio.create_task(deployment.call("e1", "r1", target="/once/1"))
+    task = asyncio.create_task(
+        deployment.send_simple_request("e1", "r1", target="/once/1")
+    )
     await deployment.wait_for(lambda: worker.state.running)
     task.cancel()
-    closed = deployment.entries["e1"]
+    entry = deployment.entries["e1"]
     await deployment.wait_for(
-        lambda: not closed.client_listener.open_request_count, timeout=0.4
+        lambda: not entry.client_listener.open_request_count, timeout=0.4
     )
 
 
 @with_deployment
-async def test_reused_address_runs_nothing(deployment: InProcessDeployment) -> None:
+async def test_request_is_not_run_by_another_worker_at_the_same_address(
+    deployment: InProcessDeployment,
+) -> None:
     worker = deployment.add_worker("w1", PLAIN_SERVICE)
     await deployment.add_entry("e1")
-    assert (await deployment.call("e1", "r1")).status == 200
+    assert (await deployment.send_simple_request("e1", "r1")).status == 200
     worker.state.id = "another"
-    answer = await deployment.call("e1", "r2")
-    assert answer.status == 503
+    response = await deployment.send_simple_request("e1", "r2")
+    assert response.status == 503
     assert len(worker.list_runs()) == 1
 
 
 @with_deployment
-async def test_metrics_tell_latencies_and_ages(deployment: InProcessDeployment) -> None:
+async def test_metrics_contain_request_count_readiness_and_version(
+    deployment: InProcessDeployment,
+) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
     entry = await deployment.add_entry("e1")
-    assert (await deployment.call("e1", "r1")).status == 200
+    assert (await deployment.send_simple_request("e1", "r1")).status == 200
     address = entry.settings.metrics_address
     request = HTTPRequest("GET", "/metrics", [("Host", address)])
-    answer = await deployment.pool.send(address, request)
-    text = bytes(answer.body).decode()
+    response = await deployment.connection_pool.send(address, request)
+    text = bytes(response.body).decode()
     assert 'account_request_duration_seconds_count{account="mill"} 1' in text
     assert "buckthornstile_ready 1" in text
     assert "buckthornstile_configuration_version 3" in text
 
 
 @with_deployment
-async def test_too_large_requests_are_refused_by_the_configured_limits(
+async def test_requests_above_the_configured_limits_are_rejected(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
     await deployment.add_entry("e1")
     body = b"x" * ((1 << 20) + 1)
-    answer = await deployment.send(
+    response = await deployment.send_request(
         "e1", "POST", "/orders/1", request_id="r1", body=body
     )
-    assert answer.status == 413
+    assert response.status == 413
     headers = (("X-Long", "y" * 20_000),)
-    assert (await deployment.call("e1", "r2", headers=headers)).status == 431
-    assert (await deployment.call("e1", "r3")).status == 200
+    assert (
+        await deployment.send_simple_request("e1", "r2", headers=headers)
+    ).status == 431
+    assert (await deployment.send_simple_request("e1", "r3")).status == 200
--- a/buckthornstile/entry/tests/test_configuration.py
+++ b/buckthornstile/entry/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration, keys, drains and usage at a whole entry."""
+"""Configuration, keys, worker registrations and usage in a whole entry."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 
 
 @with_deployment
-async def test_withdrawn_key_stops_and_old_versions_stay_out(
+async def test_withdrawn_key_is_rejected_and_older_configuration_ignored(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
@@ -22,77 +22,77 @@
     deployment.accounts[0]["apiKeys"] = ["another"]
     deployment.put_configuration()
     await deployment.wait_for(lambda: entry.view.find_account(API_KEY) is None)
-    assert (await deployment.call("e1", "r1")).status == 401
+    assert (await deployment.send_simple_request("e1", "r1")).status == 401
     deployment.accounts[0]["apiKeys"] = [API_KEY]
     deployment.put_configuration(version=1)
     await asyncio.sleep(0.7)
-    assert (await deployment.call("e1", "r2")).status == 401
+    assert (await deployment.send_simple_request("e1", "r2")).status == 401
 
 
 @with_deployment
-async def test_keys_are_not_trusted_without_the_store(
+async def test_keys_are_rejected_while_the_store_is_unreachable(
     deployment: InProcessDeployment,
 ) -> None:
     worker = deployment.add_worker("w1", PLAIN_SERVICE)
     entry = await deployment.add_entry("e1")
-    bound = entry.settings.key_bound
+    key_bound = entry.settings.key_bound
     await deployment.stop_store()
-    stopped = asyncio.get_running_loop().time()
+    stopped_at = asyncio.get_running_loop().time()
 
-    async def is_refused() -> bool:
-        return (await deployment.call("e1", "r1")).status == 503
+    async def is_rejected() -> bool:
+        return (await deployment.send_simple_request("e1", "r1")).status == 503
 
-    await deployment.retry(is_refused)
-    assert asyncio.get_running_loop().time() - stopped < bound
+    await deployment.retry_until_true(is_rejected)
+    assert asyncio.get_running_loop().time() - stopped_at < key_bound
     assert not entry.is_ready()
     runs = len(worker.list_runs())
-    assert (await deployment.call("e1", "r2")).status == 503
+    assert (await deployment.send_simple_request("e1", "r2")).status == 503
     assert len(worker.list_runs()) == runs
     deployment.start_store()
     await deployment.wait_for(entry.is_ready)
-    assert (await deployment.call("e1", "r3")).status == 200
+    assert (await deployment.send_simple_request("e1", "r3")).status == 200
 
 
 @with_deployment
-async def test_draining_gone_and_evacuated_workers_get_nothing(
+async def test_draining_removed_and_evacuated_workers_get_no_requests(
     deployment: InProcessDeployment,
 ) -> None:
     first = deployment.add_worker("w1", PLAIN_SERVICE)
     second = deployment.add_worker("w2", PLAIN_SERVICE)
-    third = deployment.add_worker("w3", PLAIN_SERVICE, zone="bench-b")
+    third = deployment.add_worker("w3", PLAIN_SERVICE, failure_domain="bench-b")
     entry = await deployment.add_entry("e1")
-    first.write_entry(state="draining")
-    second.remove_entry()
-    deployment.put("keyed.op", "evacuate/bench-b", b"{}")
-    usable = entry.view.list_available_upstreams
-    await deployment.wait_for(lambda: not usable(PLAIN_SERVICE))
-    assert (await deployment.call("e1", "r1")).status == 503
-    deployment.put("keyed.op", "evacuate/bench-b", b"")
-    await deployment.wait_for(lambda: usable(PLAIN_SERVICE))
-    assert (await deployment.call("e1", "r2")).status == 200
-    assert [len(one.list_runs()) for one in (first, second, third)] == [0, 0, 1]
+    first.write_registration(state="draining")
+    second.remove_registration()
+    deployment.put_record("keyed.op", "evacuate/bench-b", b"{}")
+    list_available = entry.view.list_available_upstreams
+    await deployment.wait_for(lambda: not list_available(PLAIN_SERVICE))
+    assert (await deployment.send_simple_request("e1", "r1")).status == 503
+    deployment.put_record("keyed.op", "evacuate/bench-b", b"")
+    await deployment.wait_for(lambda: list_available(PLAIN_SERVICE))
+    assert (await deployment.send_simple_request("e1", "r2")).status == 200
+    assert [len(worker.list_runs()) for worker in (first, second, third)] == [0, 0, 1]
 
 
 @with_deployment
-async def test_entries_that_lapsed_during_an_outage_are_kept(
+async def test_worker_removed_during_a_store_outage_is_kept_for_a_while(
     deployment: InProcessDeployment,
 ) -> None:
     worker = deployment.add_worker("w1", PLAIN_SERVICE)
     entry = await deployment.add_entry("e1")
     await deployment.stop_store()
     await asyncio.sleep(1.2)
-    worker.remove_entry()
+    worker.remove_registration()
     deployment.start_store()
     await deployment.wait_for(
         lambda: entry.topology_watcher.upstreams.disconnected_at is None
     )
-    assert (await deployment.call("e1", "r1")).status == 200
+    assert (await deployment.send_simple_request("e1", "r1")).status == 200
     await deployment.wait_for(lambda: "w1" not in entry.view.upstreams, timeout=4.0)
-    assert (await deployment.call("e1", "r2")).status == 503
+    assert (await deployment.send_simple_request("e1", "r2")).status == 503
 
 
 @with_deployment
-async def test_removed_workers_are_left_at_once_while_the_store_is_there(
+async def test_removed_worker_is_dropped_at_once_while_the_store_is_reachable(
     deployment: InProcessDeployment,
 ) -> None:
     names = [f"w{number}" for number in range(6)]
@@ -101,51 +101,55 @@
     entry = await deployment.add_entry("e1")
     await asyncio.sleep(1.0)
     for name in names:
-        # Each removal meets another moment of a read that is held.
+        # Each removal falls into another phase of the long poll.
         await asyncio.sleep(0.45)
-        deployment.workers[name].remove_entry()
+        deployment.workers[name].remove_registration()
         await deployment.wait_for(
             lambda name=name: name not in entry.view.upstreams, timeout=1.0
         )
 
 
 @with_deployment
-async def test_entry_of_another_writer_names_no_worker(
+async def test_malformed_registrations_are_ignored(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
     for number, value in enumerate((b"\xff\x00", b"[]", b"7", b'{"service": "desk"}')):
-        deployment.put("keyed.servers", f"x{number}", value)
-    entry = {
+        deployment.put_record("keyed.servers", f"x{number}", value)
+    registration = {
         "service": PLAIN_SERVICE,
         "address": "127.0.0.1:1",
         "zone": "bench-a",
         "slots": "many",
         "state": "ready",
     }
-    deployment.put("keyed.servers", "x9", json.dumps(entry).encode())
+    deployment.put_record("keyed.servers", "x9", json.dumps(registration).encode())
     entry = await deployment.add_entry("e1")
     assert list(entry.view.upstreams) == ["w1"]
-    assert (await deployment.call("e1", "r1")).status == 200
+    assert (await deployment.send_simple_request("e1", "r1")).status == 200
 
 
 @with_deployment
-async def test_windows_wait_for_an_entry_that_cannot_append_yet(
+async def test_usage_windows_wait_for_an_entry_that_cannot_append_yet(
     deployment: InProcessDeployment,
 ) -> None:
-    """After an outage one entry may read again seconds before another appends."""
+    """A window sealed too early would miss the counts of an entry.
+
+    After a store outage one entry may read again seconds before another appends: the
+    other one is then not live, but its counts are still pending.
+    """
     entry = await deployment.add_entry("e1")
-    presence, reports = entry.presence, entry.control.usage_reporter
+    presence, usage_reporter = entry.presence, entry.lease_holder_tasks.usage_reporter
     other = ProcessName("e2#1")
     presence.apply(PresenceRecord(other, "e2"))
     presence.clock = lambda: entry.clock() + 2 * PRESENCE_TIMEOUT
     assert other not in presence.list_live()
-    assert reports is not None
-    assert other in reports.list_pending_processes()
+    assert usage_reporter is not None
+    assert other in usage_reporter.list_pending_processes()
 
 
 @with_deployment
-async def test_usage_is_reported_once_by_one_holder(
+async def test_usage_is_reported_once_by_one_lease_holder(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
@@ -153,18 +157,18 @@
     await deployment.add_entry("e2")
     for number in range(6):
         entry = "e1" if number % 2 else "e2"
-        assert (await deployment.call(entry, f"r{number}")).status == 200
+        assert (await deployment.send_simple_request(entry, f"r{number}")).status == 200
 
-    def sum_reports() -> int:
+    def count_reported_requests() -> int:
         return sum(
             entry["body"]["counts"].get("mill", 0)
-            for entry in deployment.journal.entries
+            for entry in deployment.store_journal.entries
             if entry["what"] == "usage"
         )
 
-    await deployment.wait_for(lambda: sum_reports() == 6)
+    await deployment.wait_for(lambda: count_reported_requests() == 6)
     reports = [
-        entry for entry in deployment.journal.entries if entry["what"] == "usage"
+        entry for entry in deployment.store_journal.entries if entry["what"] == "usage"
     ]
     windows = [entry["body"]["window"] for entry in reports]
     assert len(set(windows)) == len(windows)
--- a/buckthornstile/entry/tests/test_jobs.py
+++ b/buckthornstile/entry/tests/test_jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs: acceptance, one order of results, takeovers, resumed streams."""
+"""Batch jobs: acceptance, a fixed order of results, takeovers, resumed streams."""
 
 import asyncio
 import json
@@ -13,15 +13,15 @@
     OTHER_API_KEY,
     PLAIN_SERVICE,
     InProcessDeployment,
+    make_expected_text,
     make_job,
-    make_text,
     with_deployment,
 )
 from buckthornstile.platform import decode_job
 
 
 @with_deployment
-async def test_job_is_run_scored_and_listed_alike_everywhere(
+async def test_job_is_run_and_scored_and_all_entries_list_the_same_results(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
@@ -29,13 +29,13 @@
     deployment.add_worker("m2", MODEL_SERVICE)
     await deployment.add_entry("e1")
     await deployment.add_entry("e2")
-    assert await deployment.submit("e1", make_job(5), "j1") == 202
-    first = await deployment.read_all("e1", "j1", 5)
-    second = await deployment.read_all("e2", "j1", 5)
+    assert await deployment.submit_job("e1", make_job(5), "j1") == 202
+    first = await deployment.wait_for_results("e1", "j1", 5)
+    second = await deployment.wait_for_results("e2", "j1", 5)
     assert first == second
     for result in first:
         assert result["state"] == "complete"
-        assert result["text"] == make_text(result["id"])
+        assert result["text"] == make_expected_text(result["id"])
         assert result["versions"] == [1]
         assert result["score"].startswith("w1.")
     _, data = await deployment.read_results("e2", "j1", after=3)
@@ -43,10 +43,13 @@
 
 
 @with_deployment
-async def test_jobs_that_follow_each_other_share_an_owner(
+async def test_consecutive_jobs_have_the_same_owner(
     deployment: InProcessDeployment,
 ) -> None:
-    """Whoever accepts them: so the owner knows what it sent to the engines."""
+    """The owner must not depend on the entry that accepts a job.
+
+    A single owner knows the whole load that it sent to the engines.
+    """
     deployment.add_worker("w1", PLAIN_SERVICE)
     deployment.add_worker("m1", MODEL_SERVICE)
     names = ["e1", "e2", "e3"]
@@ -54,22 +57,24 @@
         await deployment.add_entry(name)
     for name in names:
         entry = deployment.entries[name]
-        await deployment.wait_for(lambda one=entry: len(one.presence.list_live()) == 3)
+        await deployment.wait_for(
+            lambda entry=entry: len(entry.presence.list_live()) == 3
+        )
     owners = set()
     for number, name in enumerate(names * 2):
         job = make_job(1, prefix=f"s{number}")
-        assert await deployment.submit(name, job, f"j{number}") == 202
-        owners.add((await deployment.find_owner(f"j{number}"))[0])
+        assert await deployment.submit_job(name, job, f"j{number}") == 202
+        owners.add((await deployment.find_job_owner(f"j{number}"))[0])
     assert len(owners) == 1
     owner = owners.pop()
     other = next(name for name in names if name != owner)
-    await deployment.kill(owner)
-    assert await deployment.submit(other, make_job(1, prefix="t"), "j9") == 202
-    await deployment.read_all(other, "j9", 1)
+    await deployment.kill_entry(owner)
+    assert await deployment.submit_job(other, make_job(1, prefix="t"), "j9") == 202
+    await deployment.wait_for_results(other, "j9", 1)
 
 
 @with_deployment
-async def test_repeated_submission_is_accepted_once(
+async def test_repeated_submission_runs_the_job_once(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
@@ -78,31 +83,31 @@
     await deployment.add_entry("e2")
     job = make_job(3)
     statuses = await asyncio.gather(
-        deployment.submit("e1", job, "j1"), deployment.submit("e2", job, "j1")
+        deployment.submit_job("e1", job, "j1"), deployment.submit_job("e2", job, "j1")
     )
     assert statuses == [202, 202]
-    assert await deployment.submit("e2", job, "j1") == 202
-    results = await deployment.read_all("e2", "j1", 3)
+    assert await deployment.submit_job("e2", job, "j1") == 202
+    results = await deployment.wait_for_results("e2", "j1", 3)
     assert len({result["id"] for result in results}) == 3
     await asyncio.sleep(0.3)
     assert len(model.list_runs()) == 3
 
 
 @with_deployment
-async def test_acknowledged_job_survives_all_entries(
+async def test_accepted_job_is_completed_after_all_entries_died(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
     deployment.add_worker("m1", MODEL_SERVICE, event_seconds=0.4)
     await deployment.add_entry("e1")
-    assert await deployment.submit("e1", make_job(3), "j1") == 202
-    await deployment.kill("e1")
+    assert await deployment.submit_job("e1", make_job(3), "j1") == 202
+    await deployment.kill_entry("e1")
     deployment.workers["m1"].state.event_seconds = 0.002
-    deployment.faults.clear()
+    deployment.store_faults.clear()
     await deployment.add_entry("e2")
-    results = await deployment.read_all("e2", "j1", 3)
+    results = await deployment.wait_for_results("e2", "j1", 3)
     assert {result["text"] for result in results} == {
-        make_text(f"i{number}") for number in range(3)
+        make_expected_text(f"i{number}") for number in range(3)
     }
 
 
@@ -115,108 +120,112 @@
     await deployment.add_entry("e1")
     await deployment.add_entry("e2")
     model.faults.add({"kind": "stall", "value": 2, "seconds": 30, "count": 1})
-    assert await deployment.submit("e1", make_job(6), "j1") == 202
-    owner, other = await deployment.find_owner("j1")
-    before = await deployment.read_all(other, "j1", 4)
-    await deployment.kill(owner)
-    after = await deployment.read_all(other, "j1", 6)
+    assert await deployment.submit_job("e1", make_job(6), "j1") == 202
+    owner, other = await deployment.find_job_owner("j1")
+    before = await deployment.wait_for_results(other, "j1", 4)
+    await deployment.kill_entry(owner)
+    after = await deployment.wait_for_results(other, "j1", 6)
     assert after[: len(before)] == before
     await deployment.add_entry("e3")
-    assert await deployment.read_all("e3", "j1", 6) == after
+    assert await deployment.wait_for_results("e3", "j1", 6) == after
 
 
 @with_deployment
-async def test_former_owner_cannot_list_a_result(
+async def test_former_owner_cannot_append_a_result(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
     model = deployment.add_worker("m1", MODEL_SERVICE, event_seconds=0.3)
     await deployment.add_entry("e1")
     await deployment.add_entry("e2")
-    assert await deployment.submit("e1", make_job(3), "j1") == 202
-    owner, other = await deployment.find_owner("j1")
+    assert await deployment.submit_job("e1", make_job(3), "j1") == 202
+    owner, other = await deployment.find_job_owner("j1")
     first, second = deployment.entries[owner], deployment.entries[other]
-    await deployment.wait_for(lambda: second.jobs.table.find("j1"))
-    job = second.jobs.table.find("j1")
-    await second.jobs.claim(job)
+    await deployment.wait_for(lambda: second.job_store.table.find("j1"))
+    job = second.job_store.table.find("j1")
+    await second.job_store.claim(job)
     model.state.event_seconds = 0.002
-    results = await deployment.read_all(other, "j1", 3)
-    await deployment.wait_for(lambda: not first.owner.count_running())
-    assert await deployment.read_all(owner, "j1", 3) == results
-    records = deployment.log.get("keyed.jobs", job.part).records
-    listed = [record for _, record in records if record[1:].startswith(b"r/j1/")]
-    assert len(listed) == 3
+    results = await deployment.wait_for_results(other, "j1", 3)
+    await deployment.wait_for(lambda: not first.job_manager.count_running())
+    assert await deployment.wait_for_results(owner, "j1", 3) == results
+    records = deployment.topic_store.get("keyed.jobs", job.part).records
+    result_records = [
+        record for _, record in records if record[1:].startswith(b"r/j1/")
+    ]
+    assert len(result_records) == 3
 
 
 @with_deployment
-async def test_lost_and_late_appends_list_each_result_once(
+async def test_results_are_listed_once_despite_lost_and_late_appends(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
     deployment.add_worker("m1", MODEL_SERVICE)
     await deployment.add_entry("e1")
-    deployment.faults.add({"kind": "lose_answer", "target": "append", "count": 4})
-    deployment.faults.add(
+    deployment.store_faults.add({"kind": "lose_answer", "target": "append", "count": 4})
+    deployment.store_faults.add(
         {"kind": "late", "target": "append", "seconds": 1.2, "count": 3}
     )
-    status = await deployment.submit("e1", make_job(4), "j1")
+    status = await deployment.submit_job("e1", make_job(4), "j1")
     assert status in (202, 504, 502)
-    assert await deployment.submit("e1", make_job(4), "j1") == 202
-    results = await deployment.read_all("e1", "j1", 4)
+    assert await deployment.submit_job("e1", make_job(4), "j1") == 202
+    results = await deployment.wait_for_results("e1", "j1", 4)
     await asyncio.sleep(1.5)
     _, data = await deployment.read_results("e1", "j1")
     assert data["results"] == results
 
 
 @with_deployment
-async def test_refused_job_never_runs(deployment: InProcessDeployment) -> None:
+async def test_rejected_job_is_never_run(deployment: InProcessDeployment) -> None:
     model = deployment.add_worker("m1", MODEL_SERVICE)
     await deployment.add_entry("e1")
-    deployment.faults.add({"kind": "busy", "target": "append"})
-    assert await deployment.submit("e1", make_job(2), "j1") == 503
-    deployment.faults.clear()
+    deployment.store_faults.add({"kind": "busy", "target": "append"})
+    assert await deployment.submit_job("e1", make_job(2), "j1") == 503
+    deployment.store_faults.clear()
     await asyncio.sleep(0.6)
     assert model.list_runs() == []
     assert (await deployment.read_results("e1", "j1"))[0] == 404
 
 
 @with_deployment
-async def test_job_of_unknown_outcome_is_no_promise(
+async def test_job_whose_append_has_an_unknown_outcome_is_not_accepted(
     deployment: InProcessDeployment,
 ) -> None:
     await deployment.add_entry("e1")
-    deployment.faults.add({"kind": "lose_answer", "target": "append"})
-    assert await deployment.submit("e1", make_job(2), "j1") in (502, 504)
+    deployment.store_faults.add({"kind": "lose_answer", "target": "append"})
+    assert await deployment.submit_job("e1", make_job(2), "j1") in (502, 504)
 
 
 @with_deployment
-async def test_dropped_history_changes_nothing(deployment: InProcessDeployment) -> None:
+async def test_job_results_survive_dropped_store_history(
+    deployment: InProcessDeployment,
+) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
     deployment.add_worker("m1", MODEL_SERVICE)
     await deployment.add_entry("e1")
-    assert await deployment.submit("e1", make_job(4), "j1") == 202
-    results = await deployment.read_all("e1", "j1", 4)
-    for partition in deployment.log.partitions.values():
+    assert await deployment.submit_job("e1", make_job(4), "j1") == 202
+    results = await deployment.wait_for_results("e1", "j1", 4)
+    for partition in deployment.topic_store.partitions.values():
         partition.drop_history()
     await deployment.add_entry("e2")
-    assert await deployment.read_all("e2", "j1", 4) == results
-    assert (await deployment.call("e2", "r1")).status == 200
+    assert await deployment.wait_for_results("e2", "j1", 4) == results
+    assert (await deployment.send_simple_request("e2", "r1")).status == 200
 
 
 @with_deployment
-async def test_ended_job_runs_nothing_more_and_stays_readable(
+async def test_deleted_job_stops_running_and_stays_readable(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
     model = deployment.add_worker("m1", MODEL_SERVICE, slots=1, event_seconds=0.1)
     await deployment.add_entry("e1")
     await deployment.add_entry("e2")
-    assert await deployment.submit("e1", make_job(6), "j1") == 202
+    assert await deployment.submit_job("e1", make_job(6), "j1") == 202
     for _ in range(2):
-        answer = await deployment.send("e2", "DELETE", "/-/lots/j1")
-        assert answer.status == 200
-    owner = deployment.entries["e1"].owner
-    await deployment.wait_for(lambda: not owner.count_running(), timeout=2.0)
+        response = await deployment.send_request("e2", "DELETE", "/-/lots/j1")
+        assert response.status == 200
+    job_manager = deployment.entries["e1"].job_manager
+    await deployment.wait_for(lambda: not job_manager.count_running(), timeout=2.0)
     runs = len(model.list_runs())
     await asyncio.sleep(0.4)
     assert len(model.list_runs()) == runs
@@ -224,16 +233,18 @@
 
 
 @with_deployment
-async def test_open_item_gives_its_body(deployment: InProcessDeployment) -> None:
+async def test_body_of_an_unfinished_item_is_readable_at_any_entry(
+    deployment: InProcessDeployment,
+) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
     deployment.add_worker("m1", MODEL_SERVICE, event_seconds=0.3)
     await deployment.add_entry("e1")
     await deployment.add_entry("e2")
-    assert await deployment.submit("e1", make_job(2), "j1") == 202
-    answer = await deployment.send("e2", "GET", "/-/items/j1?id=i1")
-    assert (answer.status, bytes(answer.body)) == (200, b"hello")
-    answer = await deployment.send("e2", "GET", "/-/items/j1?id=nothing")
-    assert answer.status == 404
+    assert await deployment.submit_job("e1", make_job(2), "j1") == 202
+    response = await deployment.send_request("e2", "GET", "/-/items/j1?id=i1")
+    assert (response.status, bytes(response.body)) == (200, b"hello")
+    response = await deployment.send_request("e2", "GET", "/-/items/j1?id=nothing")
+    assert response.status == 404
 
 
 @with_deployment
@@ -241,11 +252,15 @@
     deployment: InProcessDeployment,
 ) -> None:
     await deployment.add_entry("e1")
-    assert await deployment.submit("e1", make_job(2), "j1") == 202
-    answer = await deployment.send("e1", "GET", "/-/lots/j1", key=OTHER_API_KEY)
-    assert answer.status == 404
-    answer = await deployment.send("e1", "DELETE", "/-/lots/j1", key=OTHER_API_KEY)
-    assert answer.status == 404
+    assert await deployment.submit_job("e1", make_job(2), "j1") == 202
+    response = await deployment.send_request(
+        "e1", "GET", "/-/lots/j1", key=OTHER_API_KEY
+    )
+    assert response.status == 404
+    response = await deployment.send_request(
+        "e1", "DELETE", "/-/lots/j1", key=OTHER_API_KEY
+    )
+    assert response.status == 404
 
 
 @pytest.mark.parametrize(
@@ -260,13 +275,13 @@
         {"minVersion": "x"},
     ],
 )
-def test_malformed_job_is_a_coded_error(change: dict[str, Any]) -> None:
+def test_malformed_job_is_rejected(change: dict[str, Any]) -> None:
     @with_deployment
     async def test(deployment: InProcessDeployment) -> None:
         deployment.add_worker("w1", PLAIN_SERVICE)
         await deployment.add_entry("e1")
-        assert await deployment.submit("e1", make_job(1) | change, "j1") == 400
-        assert (await deployment.call("e1", "r1")).status == 200
+        assert await deployment.submit_job("e1", make_job(1) | change, "j1") == 400
+        assert (await deployment.send_simple_request("e1", "r1")).status == 200
 
     test()
 
@@ -278,19 +293,21 @@
         {"kind": "stall", "value": 2, "seconds": 5, "count": 1},
     ],
 )
-def test_broken_stream_goes_on_after_its_last_event(fault: dict[str, Any]) -> None:
+def test_broken_stream_is_resumed_after_its_last_event(fault: dict[str, Any]) -> None:
     @with_deployment
     async def test(deployment: InProcessDeployment) -> None:
         deployment.add_worker("w1", PLAIN_SERVICE)
         for name in ("m1", "m2"):
             deployment.add_worker(name, MODEL_SERVICE).faults.add(dict(fault))
         await deployment.add_entry("e1")
-        assert await deployment.submit("e1", make_job(3), "j1") == 202
-        for result in await deployment.read_all("e1", "j1", 3):
-            assert result["text"] == make_text(result["id"])
-        runs = [run for one in deployment.workers.values() for run in one.list_runs()]
-        resumed = [run["headers"].get("Last-Event-Id") for run in runs]
-        assert "2" in resumed
+        assert await deployment.submit_job("e1", make_job(3), "j1") == 202
+        for result in await deployment.wait_for_results("e1", "j1", 3):
+            assert result["text"] == make_expected_text(result["id"])
+        runs = [
+            run for worker in deployment.workers.values() for run in worker.list_runs()
+        ]
+        last_event_ids = [run["headers"].get("Last-Event-Id") for run in runs]
+        assert "2" in last_event_ids
 
     test()
 
@@ -303,74 +320,76 @@
     model = deployment.add_worker("m1", MODEL_SERVICE)
     model.faults.add({"kind": "cut_end", "count": 1})
     await deployment.add_entry("e1")
-    assert await deployment.submit("e1", make_job(1), "j1") == 202
-    (result,) = await deployment.read_all("e1", "j1", 1)
-    assert result["text"] == make_text("i0")
+    assert await deployment.submit_job("e1", make_job(1), "j1") == 202
+    (result,) = await deployment.wait_for_results("e1", "j1", 1)
+    assert result["text"] == make_expected_text("i0")
     assert len(model.list_runs()) == 2
 
 
 @with_deployment
-async def test_slow_engine_is_left_in_mid_stream(
+async def test_stream_moves_away_from_an_engine_that_became_slow(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
     slow = deployment.add_worker("m1", MODEL_SERVICE, events=30, event_seconds=0.01)
     fast = deployment.add_worker("m2", MODEL_SERVICE, events=30, event_seconds=0.01)
     await deployment.add_entry("e1")
-    assert await deployment.submit("e1", make_job(14), "j0") == 202
-    await deployment.read_all("e1", "j0", 14)
+    assert await deployment.submit_job("e1", make_job(14), "j0") == 202
+    await deployment.wait_for_results("e1", "j0", 14)
     assert slow.list_runs()
     slow.state.event_seconds = 0.3
-    assert await deployment.submit("e1", make_job(14, prefix="k"), "j1") == 202
-    for result in await deployment.read_all("e1", "j1", 14):
-        assert result["text"] == make_text(result["id"], 30)
+    assert await deployment.submit_job("e1", make_job(14, prefix="k"), "j1") == 202
+    for result in await deployment.wait_for_results("e1", "j1", 14):
+        assert result["text"] == make_expected_text(result["id"], 30)
     runs = slow.list_runs() + fast.list_runs()
     assert [run for run in runs if "Last-Event-Id" in run["headers"]]
 
 
 @with_deployment
-async def test_successor_goes_on_from_stored_events(
+async def test_new_owner_resumes_from_stored_events(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
     model = deployment.add_worker("m1", MODEL_SERVICE, events=40, event_seconds=0.05)
     await deployment.add_entry("e1")
     await deployment.add_entry("e2")
-    assert await deployment.submit("e1", make_job(1), "j1") == 202
-    owner, other = await deployment.find_owner("j1")
+    assert await deployment.submit_job("e1", make_job(1), "j1") == 202
+    owner, other = await deployment.find_job_owner("j1")
     second = deployment.entries[other]
-    await deployment.wait_for(lambda: second.jobs.table.find("j1"))
-    job = second.jobs.table.find("j1")
+    await deployment.wait_for(lambda: second.job_store.table.find("j1"))
+    job = second.job_store.table.find("j1")
     await deployment.wait_for(lambda: job.get_progress("i0"))
-    await deployment.kill(owner)
-    (result,) = await deployment.read_all(other, "j1", 1)
-    assert result["text"] == make_text("i0", 40)
-    last = model.list_runs()[-1]["headers"]
-    assert int(last["Last-Event-Id"]) >= 8
+    await deployment.kill_entry(owner)
+    (result,) = await deployment.wait_for_results(other, "j1", 1)
+    assert result["text"] == make_expected_text("i0", 40)
+    last_headers = model.list_runs()[-1]["headers"]
+    assert int(last_headers["Last-Event-Id"]) >= 8
     await deployment.wait_for(lambda: not job.get_progress("i0"))
 
 
 @with_deployment
-async def test_planned_stop_hands_jobs_over(deployment: InProcessDeployment) -> None:
+async def test_planned_stop_hands_jobs_over_to_another_entry(
+    deployment: InProcessDeployment,
+) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
     model = deployment.add_worker("m1", MODEL_SERVICE, events=60, event_seconds=0.05)
     await deployment.add_entry("e1")
     await deployment.add_entry("e2")
-    assert await deployment.submit("e1", make_job(1), "j1") == 202
-    owner, other = await deployment.find_owner("j1")
+    assert await deployment.submit_job("e1", make_job(1), "j1") == 202
+    owner, other = await deployment.find_job_owner("j1")
     await deployment.wait_for(model.list_runs)
     await asyncio.sleep(0.3)
     stopping = asyncio.create_task(deployment.entries[owner]._drain())
     await deployment.wait_for(
-        deployment.entries[other].owner.count_running, timeout=1.5
+        deployment.entries[other].job_manager.count_running, timeout=1.5
     )
-    (result,) = await deployment.read_all(other, "j1", 1)
-    assert result["text"] == make_text("i0", 60)
+    (result,) = await deployment.wait_for_results(other, "j1", 1)
+    assert result["text"] == make_expected_text("i0", 60)
     await stopping
 
 
 @with_deployment
-async def test_process_that_leaves_gives_new_jobs_to_others(
+async def test_stopping_entry_assigns_new_jobs_to_another_entry(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
@@ -379,17 +398,17 @@
     second = await deployment.add_entry("e2")
     await deployment.wait_for(lambda: len(first.presence.list_live()) == 2)
     stopping = asyncio.create_task(first._drain())
-    await deployment.wait_for(lambda: first.owner.is_leaving)
-    assert await deployment.submit("e1", make_job(2), "j1") == 202
-    await deployment.wait_for(lambda: second.jobs.table.find("j1"))
-    job = second.jobs.table.find("j1")
+    await deployment.wait_for(lambda: first.job_manager.is_leaving)
+    assert await deployment.submit_job("e1", make_job(2), "j1") == 202
+    await deployment.wait_for(lambda: second.job_store.table.find("j1"))
+    job = second.job_store.table.find("j1")
     assert (job.claim.owner, job.claim.epoch) == (second.name, 1)
-    await deployment.read_all("e2", "j1", 2)
+    await deployment.wait_for_results("e2", "j1", 2)
     await stopping
 
 
 @with_deployment
-async def test_owner_that_is_not_known_yet_is_given_time(
+async def test_job_of_an_unknown_owner_is_not_taken_over_at_once(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
@@ -402,81 +421,87 @@
         route=entry.view.find_route(HOST, "/steps/x"),
         submitted_at=entry.get_wall_time(),
     )
-    await entry.jobs.accept(specification, "e9#1")
+    await entry.job_store.accept(specification, "e9#1")
     await asyncio.sleep(0.4)
-    assert entry.jobs.table.find("j1").claim.owner == "e9#1"
-    await deployment.read_all("e1", "j1", 2)
+    assert entry.job_store.table.find("j1").claim.owner == "e9#1"
+    await deployment.wait_for_results("e1", "j1", 2)
 
 
 @with_deployment
-async def test_groups_that_come_again_use_what_was_made(
+async def test_resubmitted_group_resumes_from_stored_events(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
     model = deployment.add_worker("m1", MODEL_SERVICE, events=40, event_seconds=0.05)
     entry = await deployment.add_entry("e1")
-    assert await deployment.submit("e1", make_job(1), "j1") == 202
-    await deployment.wait_for(lambda: entry.jobs.table.find("j1"))
-    job = entry.jobs.table.find("j1")
+    assert await deployment.submit_job("e1", make_job(1), "j1") == 202
+    await deployment.wait_for(lambda: entry.job_store.table.find("j1"))
+    job = entry.job_store.table.find("j1")
     await deployment.wait_for(lambda: job.get_progress("i0"))
-    assert (await deployment.send("e1", "DELETE", "/-/lots/j1")).status == 200
-    assert await deployment.submit("e1", make_job(1, minimum=1), "j2") == 202
-    (result,) = await deployment.read_all("e1", "j2", 1)
-    assert result["text"] == make_text("i0", 40)
+    assert (await deployment.send_request("e1", "DELETE", "/-/lots/j1")).status == 200
+    assert (
+        await deployment.submit_job("e1", make_job(1, minimum_version=1), "j2") == 202
+    )
+    (result,) = await deployment.wait_for_results("e1", "j2", 1)
+    assert result["text"] == make_expected_text("i0", 40)
     assert int(model.list_runs()[-1]["headers"]["Last-Event-Id"]) >= 8
 
 
 @with_deployment
-async def test_item_that_always_fails_is_given_up_in_bounds(
+async def test_item_that_always_fails_is_abandoned_after_three_attempts(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
     model = deployment.add_worker("m1", MODEL_SERVICE)
     model.faults.add({"kind": "error"})
     await deployment.add_entry("e1")
-    assert await deployment.submit("e1", make_job(1), "j1") == 202
-    (result,) = await deployment.read_all("e1", "j1", 1)
+    assert await deployment.submit_job("e1", make_job(1), "j1") == 202
+    (result,) = await deployment.wait_for_results("e1", "j1", 1)
     assert result["state"] == "abandoned"
     assert len(model.list_runs()) == 3
 
 
 @with_deployment
-async def test_impossible_item_is_given_up_at_once(
+async def test_impossible_item_is_abandoned_after_one_attempt(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
     model = deployment.add_worker("m1", MODEL_SERVICE)
     model.faults.add({"kind": "impossible"})
     await deployment.add_entry("e1")
-    assert await deployment.submit("e1", make_job(1), "j1") == 202
-    (result,) = await deployment.read_all("e1", "j1", 1)
+    assert await deployment.submit_job("e1", make_job(1), "j1") == 202
+    (result,) = await deployment.wait_for_results("e1", "j1", 1)
     assert result["state"] == "abandoned"
     assert len(model.list_runs()) == 1
 
 
 @with_deployment
-async def test_result_of_an_earlier_job_is_used_again(
+async def test_results_of_an_earlier_job_are_reused(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
     model = deployment.add_worker("m1", MODEL_SERVICE)
     await deployment.add_entry("e1")
-    assert await deployment.submit("e1", make_job(2), "j1") == 202
-    first = await deployment.read_all("e1", "j1", 2)
-    assert await deployment.submit("e1", make_job(2, minimum=1), "j2") == 202
-    second = await deployment.read_all("e1", "j2", 2)
-    assert sorted(one["text"] for one in first) == sorted(one["text"] for one in second)
+    assert await deployment.submit_job("e1", make_job(2), "j1") == 202
+    first = await deployment.wait_for_results("e1", "j1", 2)
+    assert (
+        await deployment.submit_job("e1", make_job(2, minimum_version=1), "j2") == 202
+    )
+    second = await deployment.wait_for_results("e1", "j2", 2)
+    assert sorted(result["text"] for result in first) == sorted(
+        result["text"] for result in second
+    )
     assert len(model.list_runs()) == 2
 
 
 @with_deployment
-async def test_job_too_large_for_the_store_is_refused(
+async def test_job_too_large_for_the_store_is_rejected(
     deployment: InProcessDeployment,
 ) -> None:
     entry = await deployment.add_entry("e1")
-    entry.jobs.max_append_bytes = 17 << 10
+    entry.job_store.max_append_bytes = 17 << 10
     job = make_job(40)
     for number, item in enumerate(job["items"]):
         item["body"] = os.urandom(100).hex() + f"{number:04}"
-    assert await deployment.submit("e1", job, "j1") == 413
+    assert await deployment.submit_job("e1", job, "j1") == 413
     assert (await deployment.read_results("e1", "j1"))[0] == 404
--- a/buckthornstile/entry/tests/test_stop.py
+++ b/buckthornstile/entry/tests/test_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop of a whole entry: what is read is answered, the rest is not run."""
+"""A planned stop of an entry: a request gets its response or is not run."""
 
 import asyncio
 from typing import Any
@@ -30,18 +30,21 @@
 
 
 @with_deployment
-async def test_request_that_crosses_the_end_is_answered_or_never_run(
+async def test_request_during_the_last_publish_gets_its_response_or_is_not_run(
     deployment: InProcessDeployment,
 ) -> None:
-    """It comes on a kept connection while the last counts are stored."""
+    """A request may arrive on an idle connection while the last counts are stored.
+
+    If the entry still read it, the worker would run it and the response be lost.
+    """
     worker = deployment.add_worker("w1", PLAIN_SERVICE, work_seconds=0.2)
     entry = await deployment.add_entry("e1")
     address = entry.settings.client_address
     pool, outcomes = ConnectionPool(), []
     await pool.send(address, make_request("r0"))
-    announce = entry.presence_publisher.publish
-    sending: list[asyncio.Task[None]] = []
-    calls = 0
+    publish = entry.presence_publisher.publish
+    send_tasks: list[asyncio.Task[None]] = []
+    publish_count = 0
 
     async def send() -> None:
         try:
@@ -49,33 +52,36 @@
         except BuckthornstileError as error:
             outcomes.append(error.code)
 
-    async def announce_slowly() -> None:
-        nonlocal calls
+    async def publish_slowly() -> None:
+        nonlocal publish_count
         if asyncio.current_task() is stopping:
-            calls += 1
-            if calls == 2:
-                sending.append(asyncio.create_task(send()))
+            publish_count += 1
+            if publish_count == 2:
+                send_tasks.append(asyncio.create_task(send()))
                 await asyncio.sleep(0.1)
-        await announce()
+        await publish()
 
     with (
-        patch.object(_daemon, "DRAIN_TIME", 0.3),
-        patch.object(entry.presence_publisher, "publish", announce_slowly),
+        patch.object(_daemon, "MIN_DRAIN_TIME", 0.3),
+        patch.object(entry.presence_publisher, "publish", publish_slowly),
     ):
         stopping = asyncio.create_task(entry._drain())
         await stopping
-    await asyncio.gather(*sending)
+    await asyncio.gather(*send_tasks)
     runs = {run["headers"]["Request-Id"] for run in worker.list_runs()}
-    assert len(sending) == 1
+    assert len(send_tasks) == 1
     assert outcomes == [200] or "r1" not in runs
     pool.close()
 
 
 @with_deployment
-async def test_connection_that_crosses_the_end_is_closed_unread(
+async def test_connection_accepted_during_the_stop_is_closed_unread(
     deployment: InProcessDeployment,
 ) -> None:
-    """It is accepted before the idle ones are closed, and waits after that."""
+    """A connection may be accepted just before the idle ones are closed.
+
+    It starts to wait for a request only after that and must then be closed too.
+    """
     worker = deployment.add_worker("w1", PLAIN_SERVICE)
     entry = await deployment.add_entry("e1")
     listener, pool = entry.client_listener, ConnectionPool()
@@ -95,14 +101,14 @@
 
 
 @with_deployment
-async def test_open_request_is_answered_before_the_end(
+async def test_open_request_gets_its_response_before_the_stop_ends(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE, work_seconds=1.0)
     entry = await deployment.add_entry("e1")
-    calling = asyncio.create_task(deployment.call("e1", "r1"))
+    calling = asyncio.create_task(deployment.send_simple_request("e1", "r1"))
     await deployment.wait_for(lambda: entry.client_listener.open_request_count)
-    with patch.object(_daemon, "DRAIN_TIME", 0.1):
+    with patch.object(_daemon, "MIN_DRAIN_TIME", 0.1):
         await entry._drain()
     assert (await calling).status == 200
     assert not entry.client_listener.open_request_count
--- a/buckthornstile/entry/tests/test_streams.py
+++ b/buckthornstile/entry/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams of plain routes: passed on as they arrive, whole or visibly broken."""
+"""Streams of plain routes: forwarded as they arrive, complete or visibly broken."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 )
 from buckthornstile.http_client import HTTPRequest
 
-EVENTS = 12
+EVENT_COUNT = 12
 
 
 def add_route(deployment: InProcessDeployment, *, resumable: bool) -> None:
@@ -48,7 +48,7 @@
         ("Token-Counts", "10,20"),
     ]
     request = HTTPRequest("POST", "/notes/1", headers, b"hello")
-    return await deployment.pool.send(
+    return await deployment.connection_pool.send(
         deployment.entries["e1"].settings.client_address,
         request,
         on_data=chunks.append,
@@ -56,44 +56,44 @@
     )
 
 
-def read_events(chunks: list[bytes]) -> list[str]:
+def parse_events(chunks: list[bytes]) -> list[str]:
     blocks = b"".join(chunks).decode().split("\n\n")
     return [block.rpartition("data: ")[2] for block in blocks if block]
 
 
-def make_events(request_id: str) -> list[str]:
-    return [f"{request_id}-{number}" for number in range(1, EVENTS + 1)]
+def make_expected_events(request_id: str) -> list[str]:
+    return [f"{request_id}-{number}" for number in range(1, EVENT_COUNT + 1)]
 
 
 @with_deployment
-async def test_events_arrive_one_by_one(deployment: InProcessDeployment) -> None:
+async def test_events_are_forwarded_one_by_one(deployment: InProcessDeployment) -> None:
     add_route(deployment, resumable=False)
-    deployment.add_worker("m1", MODEL_SERVICE, events=EVENTS, event_seconds=0.05)
+    deployment.add_worker("m1", MODEL_SERVICE, events=EVENT_COUNT, event_seconds=0.05)
     await deployment.add_entry("e1")
     chunks: list[bytes] = []
     reading = asyncio.create_task(read_stream(deployment, "r1", chunks))
     await deployment.wait_for(lambda: len(chunks) >= 2)
     assert not reading.done()
-    answer = await reading
-    assert answer.headers["Server-Stamp"].startswith("m1.")
-    assert answer.headers["Weight-Versions"] == "1"
-    assert read_events(chunks) == make_events("r1")
+    response = await reading
+    assert response.headers["Server-Stamp"].startswith("m1.")
+    assert response.headers["Weight-Versions"] == "1"
+    assert parse_events(chunks) == make_expected_events("r1")
 
 
 @with_deployment
-async def test_broken_stream_ends_visibly_and_runs_once(
+async def test_broken_stream_fails_visibly_and_is_not_run_again(
     deployment: InProcessDeployment,
 ) -> None:
     add_route(deployment, resumable=False)
     for name in ("m1", "m2"):
-        worker = deployment.add_worker(name, MODEL_SERVICE, events=EVENTS)
+        worker = deployment.add_worker(name, MODEL_SERVICE, events=EVENT_COUNT)
         worker.faults.add({"kind": "cut", "value": 5})
     await deployment.add_entry("e1")
     chunks: list[bytes] = []
     with pytest.raises(BuckthornstileError, match="early"):
         await read_stream(deployment, "r1", chunks)
-    assert read_events(chunks) == make_events("r1")[:5]
-    runs = [run for one in deployment.workers.values() for run in one.list_runs()]
+    assert parse_events(chunks) == make_expected_events("r1")[:5]
+    runs = [run for worker in deployment.workers.values() for run in worker.list_runs()]
     assert len(runs) == 1
 
 
@@ -107,46 +107,48 @@
     ],
     ids=["cut", "stall", "reset", "full"],
 )
-def test_resumable_stream_goes_on_elsewhere(fault) -> None:
+def test_resumable_stream_is_resumed_at_another_engine(fault) -> None:
     @with_deployment
     async def test(deployment: InProcessDeployment) -> None:
         add_route(deployment, resumable=True)
         for name in ("m1", "m2"):
-            worker = deployment.add_worker(name, MODEL_SERVICE, events=EVENTS)
+            worker = deployment.add_worker(name, MODEL_SERVICE, events=EVENT_COUNT)
             worker.faults.add({**fault, "count": 1})
         await deployment.add_entry("e1")
         chunks: list[bytes] = []
         await read_stream(deployment, "r1", chunks)
-        assert read_events(chunks) == make_events("r1")
+        assert parse_events(chunks) == make_expected_events("r1")
 
     test()
 
 
 @with_deployment
-async def test_version_that_changes_at_a_new_engine_is_told(
+async def test_stream_contains_the_version_of_the_engine_that_resumes_it(
     deployment: InProcessDeployment,
 ) -> None:
     add_route(deployment, resumable=True)
-    first = deployment.add_worker("m1", MODEL_SERVICE, events=EVENTS)
+    first = deployment.add_worker("m1", MODEL_SERVICE, events=EVENT_COUNT)
     first.faults.add({"kind": "cut", "value": 5, "count": 1})
     await deployment.add_entry("e1")
     chunks: list[bytes] = []
     reading = asyncio.create_task(read_stream(deployment, "r1", chunks))
-    deployment.add_worker("m2", MODEL_SERVICE, events=EVENTS, versions={MODEL_NAME: 4})
+    deployment.add_worker(
+        "m2", MODEL_SERVICE, events=EVENT_COUNT, versions={MODEL_NAME: 4}
+    )
     await reading
     text = b"".join(chunks).decode()
-    assert read_events(chunks) == make_events("r1")
+    assert parse_events(chunks) == make_expected_events("r1")
     runs = [
         run["versions"]
-        for one in deployment.workers.values()
-        for run in one.list_runs()
+        for worker in deployment.workers.values()
+        for run in worker.list_runs()
     ]
-    if [4] * (EVENTS - 5) in runs:
+    if [4] * (EVENT_COUNT - 5) in runs:
         assert "weight-versions: 4\nid: 6" in text
 
 
 @with_deployment
-async def test_client_that_leaves_ends_the_stream(
+async def test_stream_is_cancelled_when_its_client_disconnects(
     deployment: InProcessDeployment,
 ) -> None:
     add_route(deployment, resumable=True)
