--- a/buckthornstile/entry/_daemon.py
+++ b/buckthornstile/entry/_daemon.py
@@ -68,8 +68,8 @@
 MAX_READY_STALENESS = 2.5
 """Seconds without the store after which an entry is not ready for new clients."""
 MIN_DRAIN_TIME = 3.0
-"""Seconds in which the balancer in front of the entries sees two failed readiness
-probes and sends its clients elsewhere."""
+"""Seconds; long enough for the balancer in front of the entries to see two failed
+readiness probes and to send its clients elsewhere."""
 STOP_MARGIN = 1.5
 """Seconds between the exit of a stopping process and the SIGKILL that would follow."""
 STOP_POLL_INTERVAL = 0.05
@@ -168,7 +168,7 @@
         return max(ages, default=0.0) < MAX_READY_STALENESS
 
     async def run(self) -> None:
-        """Serves requests until SIGTERM, then stops in order."""
+        """Serves requests until SIGTERM, then drains and stops."""
         loop = asyncio.get_running_loop()
         stop = asyncio.Event()
         loop.add_signal_handler(signal.SIGTERM, stop.set)
@@ -201,7 +201,7 @@
         log_event("process.stop", name=self.name)
 
     async def close(self) -> None:
-        """Stops all jobs and closes all connections without a planned stop."""
+        """Stops all jobs and closes all connections without a drain."""
         self.job_manager.stop_all()
         for listener in self.listeners:
             await listener.close()
--- a/buckthornstile/entry/_http_listener.py
+++ b/buckthornstile/entry/_http_listener.py
@@ -100,7 +100,7 @@
         return int(sockets[0].getsockname()[1])
 
     def start_draining(self) -> None:
-        """Closes connections after their next response, which announces it."""
+        """Sends ``Connection: close`` with each further response, then closes."""
         self.is_draining = True
         self._server.conn_params.no_keep_alive = True
 
@@ -110,7 +110,7 @@
         return len(self._open_requests)
 
     def stop_reading(self) -> None:
-        """Stops reading requests and closes all connections without an open one."""
+        """Stops reading requests and closes connections without an open request."""
         self.is_stopped = True
         self._server.stop()
         for connection in list(self._idle_connections.values()):
@@ -215,7 +215,7 @@
         )
 
     async def _reject(self, code: ErrorCode, message: str) -> None:
-        """Sends an error before the whole request is read; closes the connection."""
+        """Sends an error before the whole body is read, and closes the connection."""
         self.is_rejected = True
         self.body.clear()
         request = self._decode(b"")
--- a/buckthornstile/entry/tests/test_in_process.py
+++ b/buckthornstile/entry/tests/test_in_process.py
@@ -1,4 +1,4 @@
-"""The in-process deployment itself."""
+"""Start of an entry in the in-process deployment while one of its ports is taken."""
 
 import socket
 
--- a/buckthornstile/entry/tests/test_jobs.py
+++ b/buckthornstile/entry/tests/test_jobs.py
@@ -112,7 +112,7 @@
 
 
 @with_deployment
-async def test_results_keep_their_place_through_an_owners_death(
+async def test_results_keep_their_order_after_the_owner_dies(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
@@ -379,13 +379,13 @@
     owner, other = await deployment.find_job_owner("j1")
     await deployment.wait_for(model.list_runs)
     await asyncio.sleep(0.3)
-    stopping = asyncio.create_task(deployment.entries[owner]._drain())
+    stop_task = asyncio.create_task(deployment.entries[owner]._drain())
     await deployment.wait_for(
         deployment.entries[other].job_manager.count_running, timeout=1.5
     )
     (result,) = await deployment.wait_for_results(other, "j1", 1)
     assert result["text"] == make_expected_text("i0", 60)
-    await stopping
+    await stop_task
 
 
 @with_deployment
@@ -397,14 +397,14 @@
     first = await deployment.add_entry("e1")
     second = await deployment.add_entry("e2")
     await deployment.wait_for(lambda: len(first.presence.list_live()) == 2)
-    stopping = asyncio.create_task(first._drain())
+    stop_task = asyncio.create_task(first._drain())
     await deployment.wait_for(lambda: first.job_manager.is_leaving)
     assert await deployment.submit_job("e1", make_job(2), "j1") == 202
     await deployment.wait_for(lambda: second.job_store.table.find("j1"))
     job = second.job_store.table.find("j1")
     assert (job.claim.owner, job.claim.epoch) == (second.name, 1)
     await deployment.wait_for_results("e2", "j1", 2)
-    await stopping
+    await stop_task
 
 
 @with_deployment
--- a/buckthornstile/entry/tests/test_stop.py
+++ b/buckthornstile/entry/tests/test_stop.py
@@ -54,7 +54,7 @@
 
     async def publish_slowly() -> None:
         nonlocal publish_count
-        if asyncio.current_task() is stopping:
+        if asyncio.current_task() is stop_task:
             publish_count += 1
             if publish_count == 2:
                 send_tasks.append(asyncio.create_task(send()))
@@ -65,8 +65,8 @@
         patch.object(_daemon, "MIN_DRAIN_TIME", 0.3),
         patch.object(entry.presence_publisher, "publish", publish_slowly),
     ):
-        stopping = asyncio.create_task(entry._drain())
-        await stopping
+        stop_task = asyncio.create_task(entry._drain())
+        await stop_task
     await asyncio.gather(*send_tasks)
     runs = {run["headers"]["Request-Id"] for run in worker.list_runs()}
     assert len(send_tasks) == 1
@@ -106,9 +106,9 @@
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE, work_seconds=1.0)
     entry = await deployment.add_entry("e1")
-    calling = asyncio.create_task(deployment.send_simple_request("e1", "r1"))
+    call_task = asyncio.create_task(deployment.send_simple_request("e1", "r1"))
     await deployment.wait_for(lambda: entry.client_listener.open_request_count)
     with patch.object(_daemon, "MIN_DRAIN_TIME", 0.1):
         await entry._drain()
-    assert (await calling).status == 200
+    assert (await call_task).status == 200
     assert not entry.client_listener.open_request_count
--- a/buckthornstile/entry/tests/test_streams.py
+++ b/buckthornstile/entry/tests/test_streams.py
@@ -71,10 +71,10 @@
     deployment.add_worker("m1", MODEL_SERVICE, events=EVENT_COUNT, event_seconds=0.05)
     await deployment.add_entry("e1")
     chunks: list[bytes] = []
-    reading = asyncio.create_task(read_stream(deployment, "r1", chunks))
+    read_task = asyncio.create_task(read_stream(deployment, "r1", chunks))
     await deployment.wait_for(lambda: len(chunks) >= 2)
-    assert not reading.done()
-    response = await reading
+    assert not read_task.done()
+    response = await read_task
     assert response.headers["Server-Stamp"].startswith("m1.")
     assert response.headers["Weight-Versions"] == "1"
     assert parse_events(chunks) == make_expected_events("r1")
@@ -131,11 +131,11 @@
     first.faults.add({"kind": "cut", "value": 5, "count": 1})
     await deployment.add_entry("e1")
     chunks: list[bytes] = []
-    reading = asyncio.create_task(read_stream(deployment, "r1", chunks))
+    read_task = asyncio.create_task(read_stream(deployment, "r1", chunks))
     deployment.add_worker(
         "m2", MODEL_SERVICE, events=EVENT_COUNT, versions={MODEL_NAME: 4}
     )
-    await reading
+    await read_task
     text = b"".join(chunks).decode()
     assert parse_events(chunks) == make_expected_events("r1")
     runs = [
@@ -155,8 +155,8 @@
     worker = deployment.add_worker("m1", MODEL_SERVICE, events=400, event_seconds=0.02)
     await deployment.add_entry("e1")
     chunks: list[bytes] = []
-    reading = asyncio.create_task(read_stream(deployment, "r1", chunks))
+    read_task = asyncio.create_task(read_stream(deployment, "r1", chunks))
     await deployment.wait_for(lambda: len(chunks) >= 2)
-    reading.cancel()
+    read_task.cancel()
     await deployment.wait_for(lambda: worker.state.running == 0, timeout=2.0)
     assert worker.list_runs(finished=False)
