--- a/buckthornstile/gateway/_item_execution.py
+++ b/buckthornstile/gateway/_item_execution.py
@@ -1,4 +1,4 @@
-"""The work on one item of a batch job: its runs, then its score."""
+"""Runs one item of a batch job at upstreams until it is complete, then scores it."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,7 +6,7 @@
 
 from buckthornstile.base import BuckthornstileError, UpstreamId
 from buckthornstile.gateway._call_sender import CallSender
-from buckthornstile.gateway._item_runner import ItemRunner, Progress, RunOutcome
+from buckthornstile.gateway._item_runner import ItemProgress, ItemRunner, RunOutcome
 from buckthornstile.gateway._job_store import JobStore
 from buckthornstile.gateway._load_balancer import LoadBalancer, Permit
 from buckthornstile.gateway._metrics import GatewayMetrics
@@ -15,24 +15,30 @@
 from buckthornstile.messages import ClientRequest, RoutedCall
 from buckthornstile.topology import API_HOST, Route, TopologyView, Upstream
 
-FAILURE_PAUSE = 0.05
-"""Seconds before an item that failed is run again."""
-REFUSAL_PAUSE = 0.02
-"""Seconds before an item that was refused is run again; doubles with each one."""
-LONGEST_REFUSAL_PAUSE = 0.2
-SCORE_TIME = 2.0
-"""Seconds for one call that scores an item."""
-SCORE_PAUSE = 0.1
-GIVE_UP_MARGIN = 0.5
-"""Seconds beyond a route's retention after which an item is given up."""
-NO_ROUTE_PAUSE = 0.1
-MAX_AVOIDED = 2
-"""Upstreams that an item avoids after they failed it, the newest ones."""
+FAILURE_RETRY_DELAY = 0.05
+"""Seconds before an item is run again after a failed run."""
+FIRST_REFUSAL_RETRY_DELAY = 0.02
+"""Seconds before an item is run again after its first refusal.
+
+The delay doubles with each further refusal in a row.
+"""
+MAX_REFUSAL_RETRY_DELAY = 0.2
+"""Maximum delay after a refusal, in seconds."""
+SCORE_TIMEOUT = 2.0
+"""Seconds until the deadline of one request that scores an item."""
+SCORE_RETRY_DELAY = 0.1
+"""Seconds before a failed scoring request is retried."""
+ABANDON_MARGIN = 0.5
+"""Seconds after the end of a job's retention at which its items are abandoned."""
+NO_ROUTE_RETRY_DELAY = 0.1
+"""Seconds before a missing scoring route is looked up again."""
+MAX_AVOIDED_UPSTREAMS = 2
+"""Number of upstreams that an item avoids: the latest ones that failed it."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobDependencies:
-    """What the runners of all jobs share."""
+    """Dependencies that the runners of all jobs share."""
 
     view: TopologyView
     balancer: LoadBalancer
@@ -45,14 +51,17 @@
 
 @dataclass(slots=True)
 class JobContext:
-    """One job and the route that it came by, which may go meanwhile."""
+    """A job and the last known configuration of its route.
+
+    The route may be removed from the configuration while the job runs.
+    """
 
     job: Job
     dependencies: JobDependencies
     last_route: Route | None = None
 
     def find_route(self) -> Route | None:
-        """Finds the job's route in the configuration in force."""
+        """Returns the job's route in the configuration in effect, or None."""
         specification = self.job.specification
         route = self.dependencies.view.find_route(
             specification.host, specification.path_prefix
@@ -61,8 +70,8 @@
             self.last_route = route
         return route
 
-    def is_over(self) -> bool:
-        """Whether open items may be given up."""
+    def is_expired(self) -> bool:
+        """Whether the job has ended or its retention is over."""
         if self.job.ended:
             return True
         retention = self.job.specification.time_limit
@@ -71,51 +80,51 @@
         if not retention:
             return False
         age = self.dependencies.clock() - self.job.started_at
-        return age > retention + GIVE_UP_MARGIN
+        return age > retention + ABANDON_MARGIN
 
 
 @dataclass(slots=True)
 class ItemExecution:
-    """An item and how far its runs have come.
+    """The execution of one item: its progress, failures and past runs.
 
     Args:
         item: The item.
-        context: Its job.
+        context: The job of the item.
         rank: Items with a smaller rank start first.
-        urgency: From 0, the most urgent, to 9, at an upstream.
+        urgency: Urgency at the upstream, from 0 (most urgent) to 9.
     """
 
     item: JobItem
     context: JobContext
     rank: tuple[int, int, int]
     urgency: int
-    progress: Progress = field(default_factory=Progress)
+    progress: ItemProgress = field(default_factory=ItemProgress)
     avoided: list[UpstreamId] = field(default_factory=list)
     failures: int = 0
-    refusals: int = 0
-    saved: int = 0
+    refusals_in_a_row: int = 0
+    saved_count: int = 0
     runs: list[str] = field(default_factory=list)
-    began_at: float = 0.0
+    started_at: float = 0.0
 
     async def run(
-        self, upstream: Upstream, route: Route, place: Permit
+        self, upstream: Upstream, route: Route, permit: Permit
     ) -> ItemResult | None:
-        """Runs the item at an upstream; scores it when its text is whole.
+        """Runs the item at an upstream and, if its text is complete, scores it.
 
         Args:
-            upstream: Where to run it.
-            route: The route that its job came by.
-            place: Its place at the upstream, released when the run has ended.
+            upstream: The upstream that runs the item.
+            route: The route of the job.
+            permit: The permit to use the upstream; released when the run has ended.
 
         Returns:
-            The result, or None if the item is to be run again.
+            The result, or None if the item must be run again.
         """
         dependencies = self.context.dependencies
-        if not self.began_at:
-            self.began_at = dependencies.clock()
+        if not self.started_at:
+            self.started_at = dependencies.clock()
         events_before = len(self.progress.events)
         specification = self.context.job.specification
-        end = await dependencies.item_runner.run(
+        outcome = await dependencies.item_runner.run(
             self.item,
             upstream,
             self.progress,
@@ -124,51 +133,51 @@
             urgency=self.urgency,
             minimum_version=specification.minimum_version,
             model=specification.model,
-            version=self._get_only_version(route, upstream),
+            version=self._get_required_version(route, upstream),
         )
-        place.release()
-        if end is not RunOutcome.REFUSED:
-            self.runs.append(f"{upstream.id}:{end.value}")
-        if end is RunOutcome.COMPLETE:
+        permit.release()
+        if outcome is not RunOutcome.REFUSED:
+            self.runs.append(f"{upstream.id}:{outcome.value}")
+        if outcome is RunOutcome.COMPLETE:
             if specification.host == API_HOST:
-                age = dependencies.clock() - self.began_at
+                age = dependencies.clock() - self.started_at
                 dependencies.sender.on_executed(specification.account, age)
             return await self._score()
-        if end is RunOutcome.IMPOSSIBLE:
-            return self._give_up("impossible")
-        if end is RunOutcome.FAILED:
+        if outcome is RunOutcome.UNPROCESSABLE:
+            return self._abandon("impossible")
+        if outcome is RunOutcome.FAILED:
             self.failures += 1
             if self.failures >= max(1, route.max_attempts):
-                return self._give_up("failed")
-        await self._note_unfinished(upstream, end, events_before)
+                return self._abandon("failed")
+        await self._handle_unfinished_run(upstream, outcome, events_before)
         return None
 
-    async def _note_unfinished(
-        self, upstream: Upstream, end: RunOutcome, events_before: int
+    async def _handle_unfinished_run(
+        self, upstream: Upstream, outcome: RunOutcome, events_before: int
     ) -> None:
-        if end is RunOutcome.REFUSED:
-            pause = REFUSAL_PAUSE * 2**self.refusals
-            self.refusals += 1
-            await asyncio.sleep(min(LONGEST_REFUSAL_PAUSE, pause))
+        if outcome is RunOutcome.REFUSED:
+            delay = FIRST_REFUSAL_RETRY_DELAY * 2**self.refusals_in_a_row
+            self.refusals_in_a_row += 1
+            await asyncio.sleep(min(MAX_REFUSAL_RETRY_DELAY, delay))
             return
-        self.refusals = 0
+        self.refusals_in_a_row = 0
         log_event(
             "item.run_ended",
             job=self.context.job.id,
             item=self.item.id,
             upstream=upstream.id,
-            end=end.value,
+            end=outcome.value,
             events_before=events_before,
             events=len(self.progress.events),
             status=self.progress.last_status,
         )
-        if end in (RunOutcome.BROKEN, RunOutcome.SILENT, RunOutcome.SLOW):
-            self.avoided = [*self.avoided[1 - MAX_AVOIDED :], upstream.id]
+        if outcome in (RunOutcome.BROKEN, RunOutcome.TIMED_OUT, RunOutcome.SLOW):
+            self.avoided = [*self.avoided[1 - MAX_AVOIDED_UPSTREAMS :], upstream.id]
         else:
-            await asyncio.sleep(FAILURE_PAUSE)
+            await asyncio.sleep(FAILURE_RETRY_DELAY)
 
-    def allows(self, upstream: Upstream, route: Route) -> bool:
-        """Whether an upstream's weights may go on with the item."""
+    def is_eligible(self, upstream: Upstream, route: Route) -> bool:
+        """Whether an upstream holds a version that may run the rest of the item."""
         specification = self.context.job.specification
         if specification.model is None:
             return True
@@ -181,7 +190,7 @@
         return True
 
     def load_progress(self, route: Route | None) -> None:
-        """Takes over what was stored of the item's text, if its versions fit."""
+        """Restores the stored events of the item if their versions are allowed."""
         specification = self.context.job.specification
         events = self.context.dependencies.store.table.find_progress(
             specification.account, self.item
@@ -192,13 +201,13 @@
         if route is not None and route.requires_single_version and len(versions) > 1:
             return
         self.progress.events = list(events)
-        self.saved = len(self.context.job.get_progress(self.item.id))
+        self.saved_count = len(self.context.job.get_progress(self.item.id))
         log_event(
             "item.resumed", job=specification.id, item=self.item.id, events=len(events)
         )
 
     def find_earlier_result(self, route: Route | None) -> ItemResult | None:
-        """Finds a result of an earlier job that fits this one."""
+        """Returns the result of an earlier job if its versions are allowed, or None."""
         dependencies, specification = (
             self.context.dependencies,
             self.context.job.specification,
@@ -214,11 +223,11 @@
         log_event("item.reused", job=specification.id, item=self.item.id)
         return result
 
-    def give_up_if_over(self) -> ItemResult | None:
-        """Gives the item up if its job's time is over."""
-        return self._give_up("over") if self.context.is_over() else None
+    def abandon_if_expired(self) -> ItemResult | None:
+        """Returns an abandoned result if the job has ended or expired, or None."""
+        return self._abandon("over") if self.context.is_expired() else None
 
-    def _give_up(self, reason: str) -> ItemResult:
+    def _abandon(self, reason: str) -> ItemResult:
         log_event(
             "item.given_up",
             job=self.context.job.id,
@@ -229,7 +238,7 @@
         )
         return ItemResult(self.item.id, ResultState.ABANDONED)
 
-    def _get_only_version(self, route: Route, upstream: Upstream) -> int | None:
+    def _get_required_version(self, route: Route, upstream: Upstream) -> int | None:
         if not route.requires_single_version:
             return None
         if self.progress.events:
@@ -241,28 +250,28 @@
     # Scores
 
     async def _score(self) -> ItemResult:
-        text_at = self.context.dependencies.clock()
+        text_completed_at = self.context.dependencies.clock()
         score = ""
         call = self.item.score_call
         if call is not None:
-            scored = await self._find_score(call)
-            if scored is None:
-                return self._give_up("score")
-            score = scored
+            found_score = await self._find_score(call)
+            if found_score is None:
+                return self._abandon("score")
+            score = found_score
         now = self.context.dependencies.clock()
-        started_at = self.context.job.started_at
+        job_started_at = self.context.job.started_at
         account = self.context.job.specification.account
         metrics = self.context.dependencies.metrics
-        metrics.record_item(account, now - started_at)
-        metrics.record_place(account, self.began_at - started_at)
+        metrics.record_item(account, now - job_started_at)
+        metrics.record_place(account, self.started_at - job_started_at)
         log_event(
             "item.done",
             job=self.context.job.id,
             item=self.item.id,
             group=self.item.group,
-            waited=self.began_at - started_at,
-            text_seconds=text_at - self.began_at,
-            score_seconds=now - text_at,
+            waited=self.started_at - job_started_at,
+            text_seconds=text_completed_at - self.started_at,
+            score_seconds=now - text_completed_at,
             events=len(self.progress.events),
             expected_tokens=self.item.expected_tokens,
             runs=",".join(self.runs),
@@ -271,28 +280,28 @@
             self.item.id,
             ResultState.COMPLETE,
             self.progress.render_text(),
-            self.progress.list_version_runs(),
+            self.progress.list_version_spans(),
             score,
         )
 
     async def _find_score(self, call: ScoreCall) -> str | None:
-        """Gives the item's score, or None if it is given up."""
+        """Returns the score of the item, or None if no request gave one."""
         view = self.context.dependencies.view
         failures = 0
-        while not self.context.is_over():
+        while not self.context.is_expired():
             route = view.find_route(call.host, call.path)
             if route is None or not route.services:
-                await asyncio.sleep(NO_ROUTE_PAUSE)
+                await asyncio.sleep(NO_ROUTE_RETRY_DELAY)
                 continue
-            signature, failed = await self._score_once(call, route)
+            signature, new_failures = await self._score_once(call, route)
             if signature:
                 return signature
-            failures += failed
-            own = self.context.last_route
-            own_attempts = own.max_attempts if own else 1
-            if failures >= max(route.max_attempts, own_attempts):
+            failures += new_failures
+            job_route = self.context.last_route
+            job_max_attempts = job_route.max_attempts if job_route else 1
+            if failures >= max(route.max_attempts, job_max_attempts):
                 return None
-            await asyncio.sleep(SCORE_PAUSE)
+            await asyncio.sleep(SCORE_RETRY_DELAY)
         return None
 
     async def _score_once(self, call: ScoreCall, route: Route) -> tuple[str, int]:
@@ -306,10 +315,10 @@
             headers=(),
             body=call.body,
         )
-        deadline = asyncio.get_running_loop().time() + SCORE_TIME
-        planned = RoutedCall(request, route, None, deadline)
+        deadline = asyncio.get_running_loop().time() + SCORE_TIMEOUT
+        routed_call = RoutedCall(request, route, None, deadline)
         try:
-            answer = await self.context.dependencies.sender.send(planned)
+            response = await self.context.dependencies.sender.send(routed_call)
         except BuckthornstileError as error:
             log_event(
                 "item.score_retry",
@@ -319,6 +328,6 @@
                 reason=error.message,
             )
             return "", 0
-        if 200 <= answer.head.status < 300:
-            return answer.head.signature, 0
-        return "", int(answer.head.status == 500)
+        if 200 <= response.head.status < 300:
+            return response.head.signature, 0
+        return "", int(response.head.status == 500)
--- a/buckthornstile/gateway/_item_runner.py
+++ b/buckthornstile/gateway/_item_runner.py
@@ -19,54 +19,55 @@
 from buckthornstile.topology import ModelName, Upstream
 
 FIRST_EVENT_TIMEOUT = 1.2
-"""Seconds without a first event after which an upstream is taken as silent."""
+"""Seconds without a first event after which a run times out."""
 EVENT_TIMEOUT = 0.6
-"""Seconds between two events after which an upstream is taken as silent."""
-JUDGED_EVENTS = 4
-"""Newest events of a run by which its pace is judged."""
-MAX_MOVES = 3
-"""Times that one item leaves a slow upstream."""
+"""Seconds without a further event after which a run times out."""
+LATENCY_WINDOW_EVENTS = 4
+"""Number of latest events over which the latency of a run is averaged."""
+MAX_MIGRATIONS = 3
+"""Number of times that one item may be moved off a slow upstream."""
 NO_VERSION = -1
-RUN_TIME = 10.0
-"""Seconds that an upstream may work on one run."""
-REFUSAL_PAUSE = 0.08
-"""Seconds for which an upstream that had no place is avoided."""
+"""Version of a response that names none."""
+RUN_TIMEOUT = 10.0
+"""Seconds that an upstream is given for one run."""
+REFUSAL_BACKOFF_TIME = 0.08
+"""Seconds for which an upstream is avoided after it refused a run."""
 
 
 class RunOutcome(Enum):
-    """How a run at an upstream ended."""
+    """Outcome of a run at an upstream."""
 
     COMPLETE = "complete"
     REFUSED = "refused"
     FAILED = "failed"
-    IMPOSSIBLE = "impossible"
+    UNPROCESSABLE = "impossible"
     BROKEN = "broken"
-    SILENT = "silent"
+    TIMED_OUT = "silent"
     SLOW = "slow"
-    TOO_OLD = "too_old"
+    STALE_VERSION = "too_old"
 
 
 @dataclass(slots=True)
-class Progress:
-    """What an item's runs have made so far."""
+class ItemProgress:
+    """Events that the runs of an item have produced so far."""
 
     events: list[StreamEvent] = field(default_factory=list)
-    moves: int = 0
+    migrations: int = 0
     last_status: int = 0
 
-    def get_last_id(self) -> int | None:
-        """The id of the last whole event."""
+    def get_last_event_id(self) -> int | None:
+        """Returns the id of the last complete event, or None."""
         return self.events[-1].id if self.events else None
 
-    def list_version_runs(self) -> tuple[VersionSpan, ...]:
-        """The versions that made the events, in order."""
+    def list_version_spans(self) -> tuple[VersionSpan, ...]:
+        """Returns the versions that produced the events, in order."""
         return tuple(
             VersionSpan(version, len(list(events)))
             for version, events in groupby(self.events, lambda event: event.version)
         )
 
     def render_text(self) -> str:
-        """The text: the data of all events."""
+        """Returns the text of the item, joined from the data of all events."""
         return "\n".join(event.data for event in self.events)
 
 
@@ -74,8 +75,8 @@
     """Runs items at upstreams.
 
     Args:
-        balancer: What was seen of upstreams.
-        pool: Connections to them.
+        balancer: Records the load, latency and failures of upstreams.
+        pool: Connections to the upstreams.
     """
 
     def __init__(self, balancer: LoadBalancer, pool: ConnectionPool) -> None:
@@ -86,7 +87,7 @@
         self,
         item: JobItem,
         upstream: Upstream,
-        progress: Progress,
+        progress: ItemProgress,
         *,
         host: str,
         account: AccountId,
@@ -95,18 +96,21 @@
         model: ModelName | None,
         version: int | None,
     ) -> RunOutcome:
-        """Runs an item from where its progress stands.
+        """Runs an item at an upstream, from its last event on.
 
         Args:
             item: The item.
-            upstream: Where to run it.
-            progress: What earlier runs made; grows as events arrive.
-            host: The host that its route has.
-            account: The client account that it runs for.
-            urgency: From 0, the most urgent, to 9.
-            minimum_version: Events of older weights are not taken.
-            model: The model that runs it.
-            version: The only version that may run it, or None for any.
+            upstream: The upstream that runs the item.
+            progress: Events of earlier runs; new events are appended as they arrive.
+            host: The host of the job's route.
+            account: The client account that the item runs for.
+            urgency: Urgency at the upstream, from 0 (most urgent) to 9.
+            minimum_version: Oldest version whose events are accepted.
+            model: The model that runs the item, or None.
+            version: The only version that may run the item, or None for any.
+
+        Returns:
+            The outcome of the run.
         """
         call = UpstreamCall(
             id=item.id,
@@ -116,10 +120,10 @@
             headers=item.headers,
             body=item.body,
             upstream=upstream.id,
-            remaining_time=RUN_TIME,
+            remaining_time=RUN_TIMEOUT,
             account=account,
             urgency=urgency,
-            last_event_id=progress.get_last_id(),
+            last_event_id=progress.get_last_event_id(),
             version=version,
         )
         run = _Run(self, upstream, progress, minimum_version, model)
@@ -131,7 +135,7 @@
         self,
         runner: ItemRunner,
         upstream: Upstream,
-        progress: Progress,
+        progress: ItemProgress,
         minimum_version: int,
         model: ModelName | None,
     ) -> None:
@@ -141,14 +145,14 @@
         self.progress = progress
         self.minimum_version = minimum_version
         self.head: ResponseHead | None = None
-        self.reader: UpstreamEventParser | None = None
+        self.parser: UpstreamEventParser | None = None
         self.loop = asyncio.get_running_loop()
-        self.active_at = self.loop.time()
+        self.last_event_at = self.loop.time()
         self.events = 0
-        self.too_old = False
-        self.broken = False
+        self.is_stale = False
+        self.is_broken = False
         self.is_slow = False
-        self.event_times: deque[float] = deque(maxlen=JUDGED_EVENTS + 1)
+        self.event_times: deque[float] = deque(maxlen=LATENCY_WINDOW_EVENTS + 1)
         self.status = 0
         self.task: asyncio.Task[HTTPResponse] | None = None
 
@@ -157,44 +161,44 @@
             self.runner.pool.send(
                 self.upstream.address,
                 encode_upstream_call(call),
-                on_headers=self._take_head,
-                on_data=self._take_data,
+                on_headers=self._on_headers,
+                on_data=self._on_data,
             )
         )
         try:
-            is_silent = await self._watch()
-            end = self._judge(is_silent)
+            is_timed_out = await self._wait_for_end()
+            outcome = self._get_outcome(is_timed_out)
         finally:
             if not self.task.done():
                 self.task.cancel()
                 await asyncio.wait({self.task})
             elif not self.task.cancelled():
                 self.task.exception()
-        return end
+        return outcome
 
-    async def _watch(self) -> bool:
-        """Waits for the end; gives whether the upstream fell silent."""
+    async def _wait_for_end(self) -> bool:
+        """Waits for the end of the run; returns whether the run timed out."""
         assert self.task is not None
         while True:
-            limit = EVENT_TIMEOUT if self.events else FIRST_EVENT_TIMEOUT
-            left = self.active_at + limit - self.loop.time()
-            if left <= 0:
+            event_timeout = EVENT_TIMEOUT if self.events else FIRST_EVENT_TIMEOUT
+            remaining = self.last_event_at + event_timeout - self.loop.time()
+            if remaining <= 0:
                 return True
-            done, _ = await asyncio.wait({self.task}, timeout=left)
+            done, _ = await asyncio.wait({self.task}, timeout=remaining)
             if done:
                 return False
 
-    def _take_head(self, answer: HTTPResponse) -> None:
-        self.head = decode_response_head(answer)
+    def _on_headers(self, response: HTTPResponse) -> None:
+        self.head = decode_response_head(response)
         self.runner.balancer.record_load(self.upstream, self.head.load)
         if self.head.status != 200 or self.head.is_refusal:
             return
         if self.head.has_content_encoding:
-            self._break()
+            self._mark_broken()
             return
         if self.head.version is None:
-            # Only an answer without events needs no version.
-            self.reader = UpstreamEventParser(NO_VERSION)
+            # A version may be missing only if the response has no events.
+            self.parser = UpstreamEventParser(NO_VERSION)
             return
         if self.model is not None:
             self.runner.balancer.view.record_versions(
@@ -203,95 +207,99 @@
                 {self.model: self.head.version},
             )
         if self.head.version < self.minimum_version:
-            self.too_old = True
+            self.is_stale = True
             self._cancel()
             return
-        self.reader = UpstreamEventParser(self.head.version)
+        self.parser = UpstreamEventParser(self.head.version)
 
-    def _take_data(self, chunk: bytes) -> None:
-        if self.reader is None or self.broken:
+    def _on_data(self, chunk: bytes) -> None:
+        if self.parser is None or self.is_broken:
             return
         try:
-            events = self.reader.feed(chunk)
+            events = self.parser.feed(chunk)
         except ValueError:
-            self._break()
+            self._mark_broken()
             return
         for event, _ in events:
-            self._take_event(event)
+            self._on_event(event)
 
-    def _take_event(self, event: StreamEvent) -> None:
-        last = self.progress.get_last_id()
-        is_next = last is None or event.id == last + 1
-        if self.broken or not is_next or event.version == NO_VERSION:
-            self._break()
+    def _on_event(self, event: StreamEvent) -> None:
+        last_event_id = self.progress.get_last_event_id()
+        is_next = last_event_id is None or event.id == last_event_id + 1
+        if self.is_broken or not is_next or event.version == NO_VERSION:
+            self._mark_broken()
             return
         now = self.loop.time()
         if self.events:
-            self.runner.balancer.record_latency(self.upstream, now - self.active_at)
+            self.runner.balancer.record_latency(self.upstream, now - self.last_event_at)
         self.runner.balancer.record_activity(self.upstream)
-        self.active_at = now
+        self.last_event_at = now
         self.event_times.append(now)
         self.events += 1
         self.progress.events.append(event)
-        self._judge_pace(now)
+        self._check_latency(now)
 
-    def _judge_pace(self, now: float) -> None:
-        """Ends the run if a peer with a free place would be much faster."""
+    def _check_latency(self, now: float) -> None:
+        """Cancels the run if a free upstream would be much faster."""
         times = self.event_times
-        if len(times) <= JUDGED_EVENTS or self.progress.moves >= MAX_MOVES:
+        if (
+            len(times) <= LATENCY_WINDOW_EVENTS
+            or self.progress.migrations >= MAX_MIGRATIONS
+        ):
             return
-        pace = (now - times[0]) / JUDGED_EVENTS
-        if self.runner.balancer.is_slow(self.upstream, pace):
-            self.progress.moves += 1
+        latency = (now - times[0]) / LATENCY_WINDOW_EVENTS
+        if self.runner.balancer.is_slow(self.upstream, latency):
+            self.progress.migrations += 1
             self.is_slow = True
             self._cancel()
 
-    def _break(self) -> None:
-        self.broken = True
+    def _mark_broken(self) -> None:
+        self.is_broken = True
         self._cancel()
 
     def _cancel(self) -> None:
         assert self.task is not None
         self.task.cancel()
 
-    def _judge(self, is_silent: bool) -> RunOutcome:
+    def _get_outcome(self, is_timed_out: bool) -> RunOutcome:
         balancer, task = self.runner.balancer, self.task
         assert task is not None
-        if self.too_old:
-            return RunOutcome.TOO_OLD
+        if self.is_stale:
+            return RunOutcome.STALE_VERSION
         if self.is_slow and not task.done():
             return RunOutcome.SLOW
         if self.is_slow and task.cancelled():
             return RunOutcome.SLOW
-        if is_silent:
-            # One that serves others lets this request wait in its queue.
+        if is_timed_out:
+            # An upstream that still serves other requests has not failed: this
+            # request may be waiting in its queue.
             if not balancer.is_active(self.upstream):
                 balancer.record_failure(self.upstream)
-            return RunOutcome.SILENT
+            return RunOutcome.TIMED_OUT
         error = None if task.cancelled() else task.exception()
-        if task.cancelled() or error is not None or self.broken:
+        if task.cancelled() or error is not None or self.is_broken:
             balancer.record_failure(self.upstream)
             if error is not None and not isinstance(error, BuckthornstileError):
                 raise error
             return RunOutcome.BROKEN
-        return self._judge_whole()
+        return self._get_response_outcome()
 
-    def _judge_whole(self) -> RunOutcome:
+    def _get_response_outcome(self) -> RunOutcome:
         balancer, head = self.runner.balancer, self.head
         assert head is not None
         if head.is_refusal:
             if head.other_upstream not in (None, self.upstream.id):
                 balancer.record_failure(self.upstream)
             else:
-                balancer.record_refusal(self.upstream, REFUSAL_PAUSE)
+                balancer.record_refusal(self.upstream, REFUSAL_BACKOFF_TIME)
             return RunOutcome.REFUSED
         if head.status == 422:
-            return RunOutcome.IMPOSSIBLE
+            return RunOutcome.UNPROCESSABLE
         if head.status == 500:
             return RunOutcome.FAILED
         self.progress.last_status = head.status
-        whole = self.reader is not None and self.reader.is_between_events()
-        if head.status != 200 or not whole or not self.progress.events:
+        is_complete = self.parser is not None and self.parser.is_between_events()
+        if head.status != 200 or not is_complete or not self.progress.events:
             balancer.record_failure(self.upstream)
             return RunOutcome.BROKEN
         balancer.record_success(self.upstream)
--- a/buckthornstile/gateway/_job_manager.py
+++ b/buckthornstile/gateway/_job_manager.py
@@ -1,4 +1,4 @@
-"""Decides which jobs this process runs, and takes over those of the dead."""
+"""Decides which jobs this process runs; takes over jobs of failed processes."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,28 +16,29 @@
 from buckthornstile.logs import log_event
 from buckthornstile.routing import compute_rendezvous_score
 
-CHECK_PERIOD = 0.15
-"""Seconds between two looks for jobs without a living owner."""
+CHECK_INTERVAL = 0.15
+"""Seconds between two checks for jobs without a live owner."""
 NEW_OWNER_GRACE = 0.7
-"""Seconds for the presence record of an owner that is not known yet to be read."""
-CLAIM_PERIOD = 1.0
-"""Seconds before a claim whose outcome is not known is made again."""
-DROP_PERIOD = 5.0
-SAVE_TIME = 0.5
-"""Seconds to store the progress of all jobs before others are asked to take over."""
+"""Seconds after a claim in which the owner's first presence record may arrive."""
+CLAIM_RETRY_DELAY = 1.0
+"""Seconds before a claim whose outcome is unknown is retried."""
+DELETE_INTERVAL = 5.0
+"""Seconds between two checks for expired jobs to delete."""
+CHECKPOINT_TIMEOUT = 0.5
+"""Seconds to store the progress of all jobs before other processes take over."""
 
 
 class JobManager:
-    """Starts and stops the runners of this process's jobs.
+    """Starts and stops the runners of the jobs that this process owns.
 
     Args:
-        name: This process's name.
-        dependencies: What all runners share.
-        presence: Which processes live.
-        assignment: Which of them follow which partitions.
-        clock: The time in seconds; it must go on while suspended.
-        result_lifetime: Seconds for which a job's results stay readable.
-        is_withdrawn: Tells whether work under a key must stop.
+        name: Name of this process.
+        dependencies: Dependencies that all runners share.
+        presence: The live processes.
+        assignment: The partitions that each process consumes.
+        clock: Returns the time in seconds; must also advance during suspend.
+        result_lifetime: Seconds for which the results of a job stay readable.
+        is_withdrawn: Whether a key was withdrawn, so that its jobs must stop.
     """
 
     def __init__(
@@ -61,53 +62,53 @@
         self.is_leaving = False
         self._runners: dict[JobId, JobRunner] = {}
         self._claimed_at: dict[JobId, float] = {}
-        self._dropped_at = 0.0
+        self._deleted_at = 0.0
 
     def on_job_changed(self, job: Job) -> None:
-        """Starts or stops a job's runner after a record changed the job."""
+        """Starts or stops the runner of a job after a record changed the job."""
         runner = self._runners.get(job.id)
-        is_mine = job.claim is not None and job.claim.owner == self.name
-        if is_mine and not job.is_finished():
+        is_owner = job.claim is not None and job.claim.owner == self.name
+        if is_owner and not job.is_finished():
             assert job.claim is not None
-            if runner is None and not self._has_lost_key(job):
+            if runner is None and not self._is_key_withdrawn(job):
                 self._runners[job.id] = JobRunner(
-                    job, self.dependencies, self._note_end
+                    job, self.dependencies, self._on_runner_ended
                 )
-        elif runner is not None and (not is_mine or job.is_finished()):
-            log_event("job.stop", job=job.id, ended=job.ended, owned=is_mine)
+        elif runner is not None and (not is_owner or job.is_finished()):
+            log_event("job.stop", job=job.id, ended=job.ended, owned=is_owner)
             self._runners.pop(job.id).stop()
 
     def choose_first_owner(self, specification: JobSpecification) -> ProcessName:
-        """Chooses who runs a job that this process accepts."""
+        """Returns the process that should run a job that this process accepts."""
         part = self.dependencies.store.find_partition(specification.account)
-        assignment = [
+        candidates = [
             name
             for name in self.assignment.list_assigned(part)
             if name != self.name or not self.is_leaving
         ]
-        chosen = choose_owner(specification, assignment)
+        chosen = choose_owner(specification, candidates)
         if chosen is None:
             self.dependencies.store.request_partition(part)
         return chosen or self.name
 
     def count_running(self) -> int:
-        """Counts the jobs that this process runs."""
+        """Returns the number of jobs that this process runs."""
         return len(self._runners)
 
     def stop_all(self) -> None:
-        """Stops all runners and starts no more."""
+        """Stops all runners and claims no further jobs."""
         self.is_leaving = True
         for runner in list(self._runners.values()):
             runner.stop()
         self._runners.clear()
 
     async def checkpoint_all(self) -> None:
-        """Stores the progress of all jobs for those who take them over."""
+        """Stores the progress of all jobs for the processes that take them over."""
         runners = list(self._runners.values())
-        saves = [runner.checkpoint(1) for runner in runners]
+        checkpoints = [runner.checkpoint(1) for runner in runners]
         try:
-            async with asyncio.timeout(SAVE_TIME):
-                outcomes = await asyncio.gather(*saves, return_exceptions=True)
+            async with asyncio.timeout(CHECKPOINT_TIMEOUT):
+                outcomes = await asyncio.gather(*checkpoints, return_exceptions=True)
         except TimeoutError:
             log_event("job.hand_over_incomplete", jobs=len(runners))
             return
@@ -116,28 +117,28 @@
                 log_event("job.hand_over_failed", reason=repr(outcome))
 
     async def run(self) -> None:
-        """Looks for jobs without a living owner until cancelled."""
+        """Claims, stops and deletes jobs periodically until cancelled."""
         while True:
-            await asyncio.sleep(CHECK_PERIOD)
+            await asyncio.sleep(CHECK_INTERVAL)
             if self.is_leaving:
                 continue
-            await self._stop_withdrawn()
+            await self._stop_withdrawn_jobs()
             await self._claim_orphans()
-            await self._drop_expired()
+            await self._delete_expired()
 
-    def _note_end(self, runner: JobRunner) -> None:
+    def _on_runner_ended(self, runner: JobRunner) -> None:
         if self._runners.get(runner.job.id) is runner:
             del self._runners[runner.job.id]
 
-    def _has_lost_key(self, job: Job) -> bool:
+    def _is_key_withdrawn(self, job: Job) -> bool:
         key = job.specification.key
         return bool(key) and self.is_withdrawn(key)
 
-    async def _stop_withdrawn(self) -> None:
-        """Ends the jobs whose key stopped working."""
+    async def _stop_withdrawn_jobs(self) -> None:
+        """Stops and ends the jobs whose key was withdrawn."""
         for runner in list(self._runners.values()):
             job = runner.job
-            if not self._has_lost_key(job):
+            if not self._is_key_withdrawn(job):
                 continue
             log_event("job.key_lost", job=job.id, key=job.specification.key)
             self._runners.pop(job.id).stop()
@@ -152,9 +153,12 @@
             return
         now = self.clock()
         for job in list(self.dependencies.store.table.jobs.values()):
-            if not self._is_orphan(job, live) or not self._is_chosen(job):
+            if not self._is_orphan(job, live) or not self._should_own(job):
                 continue
-            if now - self._claimed_at.get(job.id, -CLAIM_PERIOD) < CLAIM_PERIOD:
+            if (
+                now - self._claimed_at.get(job.id, -CLAIM_RETRY_DELAY)
+                < CLAIM_RETRY_DELAY
+            ):
                 continue
             self._claimed_at[job.id] = now
             previous = job.claim.owner if job.claim else ""
@@ -164,15 +168,15 @@
             except BuckthornstileError as error:
                 log_event("job.claim_failed", job=job.id, reason=error.message)
 
-    def _is_chosen(self, job: Job) -> bool:
+    def _should_own(self, job: Job) -> bool:
         """Whether this process is the one that should run a job."""
         candidates = self.assignment.list_assigned(job.part)
         return choose_owner(job.specification, candidates) == self.name
 
     def _is_orphan(self, job: Job, live: list[ProcessName]) -> bool:
         age = self.clock() - job.started_at
-        is_over = job.is_finished() or age > job.get_lifetime(self.result_lifetime)
-        if is_over or self._has_lost_key(job):
+        is_done = job.is_finished() or age > job.get_lifetime(self.result_lifetime)
+        if is_done or self._is_key_withdrawn(job):
             return False
         if job.claim is None:
             return True
@@ -184,18 +188,18 @@
         is_known = self.presence.is_known(job.claim.owner)
         return is_known or claim_age > NEW_OWNER_GRACE
 
-    async def _drop_expired(self) -> None:
+    async def _delete_expired(self) -> None:
         now = self.clock()
-        if now - self._dropped_at < DROP_PERIOD:
+        if now - self._deleted_at < DELETE_INTERVAL:
             return
-        self._dropped_at = now
+        self._deleted_at = now
         for job in self.dependencies.store.table.list_expired(
             now, self.result_lifetime
         ):
-            if not self._is_chosen(job):
+            if not self._should_own(job):
                 continue
             try:
-                await self.dependencies.store.drop(job)
+                await self.dependencies.store.delete(job)
             except BuckthornstileError as error:
                 log_event("job.drop_failed", job=job.id, reason=error.message)
             else:
@@ -203,22 +207,22 @@
 
 
 def choose_owner(
-    specification: JobSpecification, live: list[ProcessName]
+    specification: JobSpecification, candidates: list[ProcessName]
 ) -> ProcessName | None:
-    """Chooses the one living process that should run a job.
+    """Returns the process that should run a job, or None if there are no candidates.
 
-    The jobs of one account, route and model, which follow each other, share an
-    owner: it knows what it sent to the engines and keeps its connections to them.
+    Successive jobs of the same account, route and model get the same owner, which
+    knows what it sent to the engines and has open connections to them.
 
     Args:
-        specification: The job.
-        live: The processes to choose from.
+        specification: The specification of the job.
+        candidates: The processes to choose from.
     """
     series = "\0".join(
         (specification.account, specification.path_prefix, specification.model or "")
     )
     return max(
-        live,
+        candidates,
         key=lambda name: (compute_rendezvous_score(series, name), name),
         default=None,
     )
--- a/buckthornstile/gateway/_job_runner.py
+++ b/buckthornstile/gateway/_job_runner.py
@@ -1,4 +1,4 @@
-"""Runs the items of one batch job that this process owns."""
+"""Runs the items of a batch job that this process owns."""
 
 import asyncio
 import contextlib
@@ -23,32 +23,35 @@
 from buckthornstile.platform import AppendConflictError, Producer
 from buckthornstile.topology import Route, Upstream
 
-PLACE_POLL = 0.025
-"""Seconds before a place is looked for again."""
-WRITE_PAUSE = 0.012
-"""Seconds for which results are gathered into one append."""
-WRITE_RETRY = 0.1
-END_POLL = 0.1
+CAPACITY_POLL_INTERVAL = 0.025
+"""Seconds before pending items are checked again for a free upstream."""
+RESULT_BATCH_DELAY = 0.012
+"""Seconds for which results are collected into one append."""
+APPEND_RETRY_DELAY = 0.1
+"""Seconds before a failed append is retried."""
+END_POLL_INTERVAL = 0.1
+"""Seconds between two checks whether the job is finished."""
 MAX_APPEND_BYTES = 1 << 20
-"""Bytes of results or progress in one append; the store takes twice that."""
+"""Bytes of results or progress in one append; the store accepts twice as many."""
 MAX_URGENCY = 9
-SAVE_PERIOD = 0.6
-"""Seconds between two looks for progress that should be stored."""
-SAVE_EVENTS = 8
-"""New events of an item that are worth an append of their own."""
-RECORD_EVENTS = 50
-"""Events in one record, to stay well under the longest record."""
-SPARE_URGENCY = 3
-"""Added for items of groups beyond those that the trainer waits for."""
+"""The least urgent value that an upstream accepts."""
+CHECKPOINT_INTERVAL = 0.6
+"""Seconds between two checks for progress that should be stored."""
+MIN_CHECKPOINT_EVENTS = 8
+"""Number of new events from which on the progress of an item is stored."""
+MAX_EVENTS_PER_RECORD = 50
+"""Number of events in one record; keeps it well below the maximum record size."""
+SPARE_GROUP_URGENCY = 3
+"""Added to the urgency of items in groups beyond those the trainer waits for."""
 
 
 class JobRunner:
-    """Runs one job's items and lists their results.
+    """Runs the items of a job and stores their results.
 
     Args:
-        job: The job, whose claim names this process.
-        dependencies: What all runners share.
-        on_end: Called when the runner has ended by itself.
+        job: The job; its claim names this process as the owner.
+        dependencies: Dependencies that all runners share.
+        on_end: Called when the runner has ended, also after a failure or a stop.
     """
 
     def __init__(
@@ -65,17 +68,19 @@
         self.on_end = on_end
         self._sequence = 0
         groups = dict.fromkeys(item.group for item in job.items.values())
-        self._places = {group: place for place, group in enumerate(groups)}
-        self._homes: dict[str, UpstreamId] = {}
-        self._works: list[ItemExecution] = []
-        self._waiting: list[ItemExecution] = []
-        self._writing = asyncio.Lock()
+        self._group_positions = {
+            group: position for position, group in enumerate(groups)
+        }
+        self._preferred_upstreams: dict[str, UpstreamId] = {}
+        self._executions: list[ItemExecution] = []
+        self._pending: list[ItemExecution] = []
+        self._append_lock = asyncio.Lock()
         self._changed = asyncio.Event()
-        self._finished: asyncio.Queue[ItemResult] = asyncio.Queue()
+        self._results: asyncio.Queue[ItemResult] = asyncio.Queue()
         self._task = asyncio.create_task(self._run())
 
     def stop(self) -> None:
-        """Ends all runs; what is not listed is left to others."""
+        """Cancels all runs; other processes run the items that have no result yet."""
         self._task.cancel()
 
     async def _run(self) -> None:
@@ -90,11 +95,11 @@
             async with asyncio.TaskGroup() as group:
                 writers = [
                     group.create_task(self._write_results()),
-                    group.create_task(self._save_progress()),
+                    group.create_task(self._checkpoint_periodically()),
                 ]
                 await self._start_items(group)
                 while not self.job.is_finished():
-                    await asyncio.sleep(END_POLL)
+                    await asyncio.sleep(END_POLL_INTERVAL)
                 for writer in writers:
                     writer.cancel()
         except* AppendConflictError as errors:
@@ -107,117 +112,138 @@
     # Items
 
     async def _start_items(self, group: asyncio.TaskGroup) -> None:
-        """Starts items as places become free, until all are finished."""
-        self._works = [
-            self._make_work(item) for item in self.job.iterate_pending_items()
+        """Starts items as upstreams have capacity, until all are finished."""
+        self._executions = [
+            self._create_execution(item) for item in self.job.iterate_pending_items()
         ]
-        self._works.sort(key=lambda work: work.rank)
-        self._waiting = list(self._works)
-        open_items = len(self._waiting)
-        done = 0
+        self._executions.sort(key=lambda execution: execution.rank)
+        self._pending = list(self._executions)
+        item_count = len(self._pending)
+        finished_count = 0
 
         async def run(
-            work: ItemExecution, upstream: Upstream, route: Route, place: Permit
+            execution: ItemExecution, upstream: Upstream, route: Route, permit: Permit
         ) -> None:
-            nonlocal done
-            result = await work.run(upstream, route, place)
+            nonlocal finished_count
+            result = await execution.run(upstream, route, permit)
             if result is None:
-                self._waiting.append(work)
-                self._waiting.sort(key=lambda one: one.rank)
+                self._pending.append(execution)
+                self._pending.sort(key=lambda waiting: waiting.rank)
             else:
-                done += 1
-                self._finished.put_nowait(result)
+                finished_count += 1
+                self._results.put_nowait(result)
             self._changed.set()
 
-        while done < open_items:
+        while finished_count < item_count:
             route = self.context.find_route()
-            for work in list(self._waiting):
-                result = work.find_earlier_result(route) or work.give_up_if_over()
+            for execution in list(self._pending):
+                result = (
+                    execution.find_earlier_result(route)
+                    or execution.abandon_if_expired()
+                )
                 if result is not None:
-                    self._waiting.remove(work)
-                    self._finished.put_nowait(result)
-                    done += 1
+                    self._pending.remove(execution)
+                    self._results.put_nowait(result)
+                    finished_count += 1
                     continue
-                upstream = self._choose_upstream(work, route)
+                upstream = self._choose_upstream(execution, route)
                 if upstream is not None and route is not None:
-                    self._waiting.remove(work)
-                    place = self.dependencies.balancer.acquire_permit(upstream)
-                    task = group.create_task(run(work, upstream, route, place))
-                    task.add_done_callback(place.release_after)
+                    self._pending.remove(execution)
+                    permit = self.dependencies.balancer.acquire_permit(upstream)
+                    task = group.create_task(run(execution, upstream, route, permit))
+                    task.add_done_callback(permit.release_after)
             await self._wait_for_change()
 
     async def _wait_for_change(self) -> None:
         self._changed.clear()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(PLACE_POLL if self._waiting else END_POLL):
+            async with asyncio.timeout(
+                CAPACITY_POLL_INTERVAL if self._pending else END_POLL_INTERVAL
+            ):
                 await self._changed.wait()
 
-    def _make_work(self, item: JobItem) -> ItemExecution:
-        """Ranks an item: what is waited for first, then what takes longest."""
-        place = self._places[item.group]
-        wanted = self.job.specification.wanted_groups or len(self._places)
-        is_spare = place >= wanted
+    def _create_execution(self, item: JobItem) -> ItemExecution:
+        """Creates the execution of an item, with its rank and urgency.
+
+        Items that the trainer waits for rank first; among these, the longest.
+        """
+        position = self._group_positions[item.group]
+        wanted_count = self.job.specification.wanted_groups or len(
+            self._group_positions
+        )
+        is_spare_group = position >= wanted_count
         route = self.context.find_route()
         priority = route.priority if route else 0
-        urgency = min(MAX_URGENCY, priority + 1 + SPARE_URGENCY * is_spare)
-        rank = (int(is_spare), -item.expected_tokens, place)
-        work = ItemExecution(item, self.context, rank, urgency)
-        work.load_progress(route)
-        return work
+        urgency = min(MAX_URGENCY, priority + 1 + SPARE_GROUP_URGENCY * is_spare_group)
+        rank = (int(is_spare_group), -item.expected_tokens, position)
+        execution = ItemExecution(item, self.context, rank, urgency)
+        execution.load_progress(route)
+        return execution
 
     def _choose_upstream(
-        self, work: ItemExecution, route: Route | None
+        self, execution: ItemExecution, route: Route | None
     ) -> Upstream | None:
         if route is None or not route.services:
             return None
         balancer = self.dependencies.balancer
-        group = work.item.group
+        group = execution.item.group
         upstream = balancer.pick(
             self.dependencies.sender.choose_service(route),
-            avoided=work.avoided,
-            allows=lambda one: work.allows(one, route) and balancer.has_capacity(one),
-            preferred=self._homes.get(group),
+            avoided=execution.avoided,
+            allows=lambda candidate: (
+                execution.is_eligible(candidate, route)
+                and balancer.has_capacity(candidate)
+            ),
+            preferred=self._preferred_upstreams.get(group),
         )
-        if upstream is not None and group and not work.avoided:
-            self._homes.setdefault(group, upstream.id)
+        if upstream is not None and group and not execution.avoided:
+            self._preferred_upstreams.setdefault(group, upstream.id)
         return upstream
 
     # Results
 
     async def _write_results(self) -> None:
         while True:
-            results = [await self._finished.get()]
-            await asyncio.sleep(WRITE_PAUSE)
+            results = [await self._results.get()]
+            await asyncio.sleep(RESULT_BATCH_DELAY)
             size = 0
-            while not self._finished.empty() and size < MAX_APPEND_BYTES:
-                results.append(self._finished.get_nowait())
+            while not self._results.empty() and size < MAX_APPEND_BYTES:
+                results.append(self._results.get_nowait())
                 size += len(results[-1].text)
-            await self._list(results)
+            await self._store_results(results)
 
-    async def _save_progress(self) -> None:
-        """Stores what long items have made, for the owner's successor."""
+    async def _checkpoint_periodically(self) -> None:
+        """Stores the progress of long items periodically, for the next owner."""
         while True:
-            await asyncio.sleep(SAVE_PERIOD)
-            await self.checkpoint(SAVE_EVENTS)
+            await asyncio.sleep(CHECKPOINT_INTERVAL)
+            await self.checkpoint(MIN_CHECKPOINT_EVENTS)
 
-    async def checkpoint(self, least_events: int) -> None:
-        """Stores the new events of items that have made so many."""
+    async def checkpoint(self, min_events: int) -> None:
+        """Stores the new events of items that have at least ``min_events`` of them."""
         records = []
-        for work in self._works:
-            events = work.progress.events
-            is_listed = work.item.id in self.job.positions
-            if is_listed or len(events) - work.saved < least_events:
+        for execution in self._executions:
+            events = execution.progress.events
+            has_result = execution.item.id in self.job.positions
+            if has_result or len(events) - execution.saved_count < min_events:
                 continue
-            while work.saved < len(events):
-                new = events[work.saved : work.saved + RECORD_EVENTS]
+            while execution.saved_count < len(events):
+                new_events = events[
+                    execution.saved_count : execution.saved_count
+                    + MAX_EVENTS_PER_RECORD
+                ]
                 records.append(
-                    encode_progress(self.job.id, work.item.id, work.saved, new)
+                    encode_progress(
+                        self.job.id,
+                        execution.item.id,
+                        execution.saved_count,
+                        new_events,
+                    )
                 )
-                work.saved += len(new)
+                execution.saved_count += len(new_events)
         for batch in split_records(records, MAX_APPEND_BYTES):
             await self._append(batch)
 
-    async def _list(self, results: list[ItemResult]) -> None:
+    async def _store_results(self, results: list[ItemResult]) -> None:
         records = [
             record
             for result in results
@@ -240,7 +266,7 @@
         )
 
     async def _append(self, records: list[JobRecord]) -> None:
-        async with self._writing:
+        async with self._append_lock:
             await self._append_next(records)
 
     async def _append_next(self, records: list[JobRecord]) -> None:
@@ -251,7 +277,7 @@
                 await self.dependencies.store.append_once(self.job, records, producer)
             except PlatformUnavailableError as error:
                 log_event("job.append_retry", job=self.job.id, reason=error.message)
-                await asyncio.sleep(WRITE_RETRY)
+                await asyncio.sleep(APPEND_RETRY_DELAY)
                 continue
             return
 
@@ -259,7 +285,9 @@
 def split_records(
     records: Sequence[JobRecord], max_bytes: int
 ) -> Iterator[list[JobRecord]]:
-    """Splits records into batches of bounded size; one record always fits.
+    """Splits records into batches of at most ``max_bytes``.
+
+    A record that is longer than that is a batch of its own.
 
     Example:
         >>> records = [JobRecord("a", b"12"), JobRecord("b", b"3"), JobRecord("c", b"")]
--- a/buckthornstile/gateway/_job_store.py
+++ b/buckthornstile/gateway/_job_store.py
@@ -1,7 +1,7 @@
-"""Keeps batch jobs in the store and follows what others write of them.
+"""Stores batch jobs and consumes the job records of all processes.
 
-All jobs of a client account stand in one partition, so that what an earlier job has
-stored of an item is known where a later one brings it again.
+All jobs of a client account are in one partition, so that a process that runs a later
+job also has the results and progress of the account's earlier jobs.
 """
 
 import asyncio
@@ -37,40 +37,42 @@
 )
 from buckthornstile.routing import compute_rendezvous_score
 
-MAX_JOB_PARTS = 4
-"""Partitions in use: each entry holds one read open for each."""
-JOB_WAIT = 0.4
-JOB_PAUSE = 0.03
-"""Seconds between two reads, so that results are fetched several at once."""
+MAX_JOB_PARTITIONS = 4
+"""Maximum number of partitions in use: an entry has one open read for each."""
+READ_MAX_WAIT = 0.4
+"""Seconds for which the store may hold a read (long poll)."""
+READ_INTERVAL = 0.03
+"""Seconds between two reads, so that one read fetches several results."""
 FIRST_EPOCH = 1
-FOLLOW_PERIOD = 0.2
-"""Seconds between two looks at which partitions are to be followed."""
-LINGER = 8.0
-"""Seconds for which a partition is followed on after the last reason to."""
+"""Epoch of the claim that is stored with a new job."""
+ASSIGNMENT_CHECK_INTERVAL = 0.2
+"""Seconds between two checks of which partitions to consume."""
+UNASSIGN_DELAY = 8.0
+"""Seconds for which a partition is still consumed after it was last needed."""
 APPEND_TIMEOUT = 0.8
-"""Seconds for one append; ten times a slow store's usual answer."""
-ACCEPT_TIME = 2.5
-"""Seconds in which an append is tried again before its client is answered."""
-APPEND_ROOM = 16 << 10
-"""Bytes of an append that lengths of records may take."""
-REFUSED_PAUSE = 0.06
-"""Seconds before an append that the store refused is made again."""
+"""Seconds for one append; ten times the usual response time of a slow store."""
+APPEND_RETRY_TIME = 2.5
+"""Seconds during which an append is retried before the client gets an error."""
+APPEND_OVERHEAD_BYTES = 16 << 10
+"""Bytes of an append that are reserved for the lengths of its records."""
+APPEND_RETRY_DELAY = 0.06
+"""Seconds before a failed append is retried, by this process or the client."""
 
 
 class JobStore:
     """Batch jobs in the store.
 
     Args:
-        store: The store.
-        parts: The partitions of a topic.
-        max_record_bytes: The longest record.
-        max_append_bytes: The most that one append takes.
-        name: This process's name.
-        clock: The time in seconds; it must go on while suspended.
-        wall_clock: Seconds since the epoch.
+        store: Client of the store.
+        parts: Number of partitions of a topic.
+        max_record_bytes: Maximum size of a record.
+        max_append_bytes: Maximum size of an append.
+        name: Name of this process.
+        clock: Returns the time in seconds; must also advance during suspend.
+        wall_clock: Returns the seconds since the Unix epoch.
         on_change: Called with a job after a record changed it.
-        is_assigned: Tells whether this process is to follow a partition.
-        may_load: Tells whether partitions may be loaded now.
+        is_assigned: Whether a partition is assigned to this process.
+        may_load: Whether partitions may be loaded now.
     """
 
     def __init__(
@@ -96,14 +98,15 @@
         self.clock = clock
         self.wall_clock = wall_clock
         self.table = JobTable(on_change)
-        self._following: dict[int, asyncio.Task[None]] = {}
-        self._wanted_at: dict[int, float] = {}
+        self._consumer_tasks: dict[int, asyncio.Task[None]] = {}
+        self._requested_at: dict[int, float] = {}
         self.consumers = [
-            self._make_tail(part) for part in range(min(MAX_JOB_PARTS, parts))
+            self._create_consumer(part)
+            for part in range(min(MAX_JOB_PARTITIONS, parts))
         ]
 
     def is_loaded(self) -> bool:
-        """Whether all partitions that are followed were read once."""
+        """Whether all assigned partitions were read to their end once."""
         return self.may_load() and all(
             consumer.is_loaded
             for consumer in self.consumers
@@ -111,36 +114,38 @@
         )
 
     def find_partition(self, account: AccountId) -> int:
-        """Finds the partition that holds an account's jobs."""
+        """Returns the partition that holds the jobs of an account."""
         return compute_rendezvous_score("jobs", account) % len(self.consumers)
 
     def is_consumed(self, part: int) -> bool:
-        """Whether a partition is followed here and was read once."""
-        return part in self._following and self.consumers[part].is_loaded
+        """Whether this process consumes a partition and has read it to its end once."""
+        return part in self._consumer_tasks and self.consumers[part].is_loaded
 
     def request_partition(self, part: int) -> None:
-        """Asks for a partition to be followed for a while."""
-        self._wanted_at[part] = self.clock()
+        """Keeps a partition consumed for the next ``UNASSIGN_DELAY`` seconds."""
+        self._requested_at[part] = self.clock()
 
     def get_staleness(self) -> float:
-        """Seconds since the oldest of the followed partitions was read."""
-        ages = [self.consumers[part].get_staleness() for part in self._following]
-        return max(ages, default=0.0)
+        """Returns the staleness of the stalest partition consumed, in seconds."""
+        staleness = [
+            self.consumers[part].get_staleness() for part in self._consumer_tasks
+        ]
+        return max(staleness, default=0.0)
 
     async def run(self) -> None:
-        """Follows the partitions that it is to follow until cancelled."""
+        """Consumes the assigned and requested partitions until cancelled."""
         async with asyncio.TaskGroup() as group:
             try:
                 while True:
                     if self.may_load():
-                        self._adjust(group)
-                    await asyncio.sleep(FOLLOW_PERIOD)
+                        self._update_consumers(group)
+                    await asyncio.sleep(ASSIGNMENT_CHECK_INTERVAL)
             finally:
-                for task in self._following.values():
+                for task in self._consumer_tasks.values():
                     task.cancel()
-                self._following.clear()
+                self._consumer_tasks.clear()
 
-    def _adjust(self, group: asyncio.TaskGroup) -> None:
+    def _update_consumers(self, group: asyncio.TaskGroup) -> None:
         now = self.clock()
         owned = {
             job.part
@@ -151,57 +156,63 @@
         }
         for consumer in self.consumers:
             if self.is_assigned(consumer.part) or consumer.part in owned:
-                self._wanted_at[consumer.part] = now
-            is_wanted = now - self._wanted_at.get(consumer.part, -LINGER) < LINGER
-            task = self._following.get(consumer.part)
-            if is_wanted and task is None:
+                self._requested_at[consumer.part] = now
+            is_needed = (
+                now - self._requested_at.get(consumer.part, -UNASSIGN_DELAY)
+                < UNASSIGN_DELAY
+            )
+            task = self._consumer_tasks.get(consumer.part)
+            if is_needed and task is None:
                 log_event("jobs.follow", part=consumer.part)
                 task = group.create_task(consumer.run())
-                self._following[consumer.part] = task
-            elif not is_wanted and task is not None:
+                self._consumer_tasks[consumer.part] = task
+            elif not is_needed and task is not None:
                 log_event("jobs.unfollow", part=consumer.part)
-                self._following.pop(consumer.part).cancel()
+                self._consumer_tasks.pop(consumer.part).cancel()
                 self.table.drop_partition(consumer.part)
-                self.consumers[consumer.part] = self._make_tail(consumer.part)
+                self.consumers[consumer.part] = self._create_consumer(consumer.part)
 
     async def accept(self, specification: JobSpecification, owner: ProcessName) -> None:
         """Stores a job with its first owner.
 
-        Repeats, here and at other processes, store nothing more.
+        Idempotent: a repeat, at this or another process, stores nothing.
 
         Raises:
-            BuckthornstileError: It is not known to be stored; the verdict is
-                NOT_RUN only if it will never be.
+            BuckthornstileError: The job is too large, or the append failed or its
+                outcome is unknown. The verdict is NOT_RUN only if the job is not
+                stored and never will be.
         """
         claim = OwnerClaim(owner, FIRST_EPOCH)
         records = encode_specification(specification, self.max_record_bytes)
         records.append(encode_claim(specification.id, claim))
         size = sum(len(one.key) + len(one.value) for one in records)
-        if size > self.max_append_bytes - APPEND_ROOM:
+        if size > self.max_append_bytes - APPEND_OVERHEAD_BYTES:
             raise BuckthornstileError(
                 ErrorCode.BODY_TOO_LARGE,
-                f"job {specification.id!r} takes {size} bytes in the store",
+                f"job {specification.id!r} needs {size} bytes in the store",
             )
         producer = Producer(specification.id, FIRST_EPOCH, 0)
         try:
             part = self.find_partition(specification.account)
-            await self._append(part, records, producer, ACCEPT_TIME)
+            await self._append(part, records, producer, APPEND_RETRY_TIME)
         except AppendConflictError as error:
             log_event("job.known", job=specification.id, reason=error.message)
 
     async def end(self, job: Job) -> None:
-        """Stores that a job's client ended it.
+        """Stores that the client ended a job.
 
         Raises:
-            BuckthornstileError: It is not known to be stored.
+            BuckthornstileError: The append failed or its outcome is unknown.
         """
-        await self._append(job.part, [encode_end(job.id)], None, ACCEPT_TIME)
+        await self._append(job.part, [encode_end(job.id)], None, APPEND_RETRY_TIME)
 
     async def claim(self, job: Job) -> None:
-        """Tries to become the owner of a job; the log tells who did.
+        """Tries to become the owner of a job.
+
+        The records that are consumed later show which process succeeded.
 
         Raises:
-            BuckthornstileError: The claim is not known to be stored.
+            BuckthornstileError: The append failed or its outcome is unknown.
         """
         epoch = job.claim.epoch + 1 if job.claim else FIRST_EPOCH
         record = encode_claim(job.id, OwnerClaim(self.name, epoch))
@@ -210,11 +221,11 @@
     async def append_once(
         self, job: Job, records: Sequence[JobRecord], producer: Producer | None
     ) -> None:
-        """Makes one append.
+        """Appends records to the partition of a job, without a retry.
 
         Raises:
             AppendConflictError: Another process owns the job.
-            PlatformUnavailableError: The outcome is not known, or it was refused.
+            PlatformUnavailableError: The append failed or its outcome is unknown.
         """
         consumer = self.consumers[job.part]
         encoded = [encode_keyed_record(one.key, one.value) for one in records]
@@ -222,8 +233,8 @@
             JOB_TOPIC, consumer.part, encoded, producer=producer, timeout=APPEND_TIMEOUT
         )
 
-    async def drop(self, job: Job) -> None:
-        """Drops all keys of a job that nobody may ask for any more."""
+    async def delete(self, job: Job) -> None:
+        """Deletes all keys of a job whose results are no longer readable."""
         records = [JobRecord(key, b"") for key in sorted(job.keys)]
         await self.append_once(job, records, None)
 
@@ -232,10 +243,10 @@
         part: int,
         records: Sequence[JobRecord],
         producer: Producer | None,
-        time: float,
+        retry_time: float,
     ) -> None:
         encoded = [encode_keyed_record(one.key, one.value) for one in records]
-        give_up_at = self.clock() + time
+        retry_until = self.clock() + retry_time
         may_have_taken_effect = False
         while True:
             try:
@@ -249,19 +260,19 @@
                 return
             except PlatformUnavailableError as error:
                 may_have_taken_effect |= error.may_have_taken_effect
-                if self.clock() + REFUSED_PAUSE >= give_up_at:
+                if self.clock() + APPEND_RETRY_DELAY >= retry_until:
                     verdict = Verdict.NOT_RUN
                     if may_have_taken_effect:
                         verdict = Verdict.MAY_HAVE_RUN
                     raise BuckthornstileError(
                         ErrorCode.PLATFORM_UNAVAILABLE,
-                        f"the store did not take it: {error.message}",
+                        f"the append to the store failed: {error.message}",
                         verdict=verdict,
-                        retry_after=REFUSED_PAUSE,
+                        retry_after=APPEND_RETRY_DELAY,
                     ) from error
-            await asyncio.sleep(REFUSED_PAUSE)
+            await asyncio.sleep(APPEND_RETRY_DELAY)
 
-    def _make_tail(self, part: int) -> PartitionConsumer:
+    def _create_consumer(self, part: int) -> PartitionConsumer:
         def apply(record: KeyedRecord) -> None:
             try:
                 self.table.apply(
@@ -275,7 +286,7 @@
             except (ValueError, KeyError, TypeError) as error:
                 log_event("job.record_unreadable", key=record.key, reason=error)
 
-        def apply_newest(records: list[KeyedRecord]) -> None:
+        def apply_snapshot(records: list[KeyedRecord]) -> None:
             for record in sorted(records, key=lambda one: one.offset):
                 apply(record)
 
@@ -284,9 +295,9 @@
             JOB_TOPIC,
             part,
             clock=self.clock,
-            max_wait=JOB_WAIT,
-            poll_interval=JOB_PAUSE,
+            max_wait=READ_MAX_WAIT,
+            poll_interval=READ_INTERVAL,
             on_record=apply,
-            on_snapshot=apply_newest,
+            on_snapshot=apply_snapshot,
             ordered=True,
         )
--- a/buckthornstile/gateway/_lease_holder_tasks.py
+++ b/buckthornstile/gateway/_lease_holder_tasks.py
@@ -1,4 +1,4 @@
-"""Runs the duties that one process performs for all."""
+"""Runs the tasks that only the holder of the lease may perform."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -9,17 +9,17 @@
 from buckthornstile.gateway._usage_reporter import UsageReporter
 from buckthornstile.logs import log_event
 
-TICK = 0.1
-"""Seconds between two looks at what is due."""
+TASK_INTERVAL = 0.1
+"""Seconds between two calls of a task."""
 
 
 class LeaseHolderTasks:
-    """Keeps the lease and, while it is held, performs the duties.
+    """Renews the lease and, while this process holds it, performs the tasks.
 
     Args:
-        lease_manager: Keeps the lease.
-        load_dispatcher: Orders loads of weights.
-        usage_reporter: Reports usage; None where the platform takes no reports.
+        lease_manager: Claims and renews the lease.
+        load_dispatcher: Sends orders to load model versions.
+        usage_reporter: Reports usage; None if the platform accepts no reports.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self.usage_reporter = usage_reporter
 
     async def run(self) -> None:
-        """Performs the duties until cancelled."""
+        """Runs the tasks periodically until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.lease_manager.consumer.run())
             group.create_task(_repeat(self.lease_manager.keep))
@@ -48,4 +48,4 @@
             await step()
         except BuckthornstileError as error:
             log_event("duty.step_failed", step=step.__name__, reason=error.message)
-        await asyncio.sleep(TICK)
+        await asyncio.sleep(TASK_INTERVAL)
--- a/buckthornstile/gateway/_lease_manager.py
+++ b/buckthornstile/gateway/_lease_manager.py
@@ -1,4 +1,4 @@
-"""Keeps this process's lease of the duties that one process performs for all."""
+"""Manages the lease whose holder runs the tasks that only one process may run."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,21 +16,23 @@
 from buckthornstile.logs import log_event
 from buckthornstile.platform import AppendConflictError, StoreClient
 
-DUTY_WAIT = 0.5
-"""Seconds that a read of the duties' topic is held."""
+READ_MAX_WAIT = 0.5
+"""Seconds for which the store may hold a read of the duty topic (long poll)."""
 APPEND_TIMEOUT = 0.6
-MIN_TIME_LEFT = 0.15
-"""Seconds of the lease that must be left to begin a call."""
+"""Seconds for one append to the duty topic."""
+MIN_REMAINING_TIME = 0.15
+"""Seconds that must remain of the lease for a call to be started."""
 
 
 class LeaseManager:
-    """Follows the duties' topic, and claims and renews the lease.
+    """Consumes the duty topic, and claims and renews the lease.
 
     Args:
-        name: This process's name.
-        store: The store.
-        clock: The time in seconds; it must go on while suspended.
-        turn_bound: Seconds in which the holder may not change there and back.
+        name: Name of this process.
+        store: Client of the store.
+        clock: Returns the time in seconds; must also advance during suspend.
+        turn_bound: Seconds within which the lease must not pass to another process
+            and back.
     """
 
     def __init__(
@@ -52,30 +54,33 @@
             DUTY_TOPIC,
             0,
             clock=clock,
-            max_wait=DUTY_WAIT,
+            max_wait=READ_MAX_WAIT,
             on_raw_record=self._apply,
-            on_caught_up=self._note_read,
+            on_caught_up=self._on_caught_up,
         )
-        self._returned_at = -1e9
-        self._writing = asyncio.Lock()
+        self._reconnected_at = -1e9
+        self._append_lock = asyncio.Lock()
 
-    def may_act(self) -> bool:
-        """Whether enough of the lease is left to begin a call."""
-        return self.lease.is_held() and self.lease.get_remaining_time() > MIN_TIME_LEFT
+    def can_act(self) -> bool:
+        """Whether enough time remains of the lease to start a call."""
+        return (
+            self.lease.is_held()
+            and self.lease.get_remaining_time() > MIN_REMAINING_TIME
+        )
 
-    def bound(self, seconds: float) -> float:
-        """Bounds a time-out by what is left of the lease."""
+    def clamp_timeout(self, seconds: float) -> float:
+        """Limits a timeout to the remaining time of the lease."""
         return min(seconds, self.lease.get_remaining_time())
 
     async def keep(self) -> None:
         """Appends the claim or renewal that is due, if any.
 
         Raises:
-            PlatformUnavailableError: The store did not take it, or gave no answer.
+            PlatformUnavailableError: The append failed or its outcome is unknown.
         """
         if (
             not self.consumer.is_loaded
-            or self.consumer.get_staleness() > DUTY_WAIT + APPEND_TIMEOUT
+            or self.consumer.get_staleness() > READ_MAX_WAIT + APPEND_TIMEOUT
         ):
             return
         record = None if self.is_leaving else self.lease.get_due_record()
@@ -90,12 +95,15 @@
             log_event("lease.taken", term=self.duty_state.term)
 
     async def append(self, record: DutyRecord) -> int | None:
-        """Appends a record at the end that is known; None if that has moved on.
+        """Appends a record at the last known end of the duty topic.
+
+        Returns:
+            The offset of the record, or None if the topic has grown meanwhile.
 
         Raises:
-            PlatformUnavailableError: The store did not take it, or gave no answer.
+            PlatformUnavailableError: The append failed or its outcome is unknown.
         """
-        async with self._writing:
+        async with self._append_lock:
             try:
                 return await self.store.append(
                     DUTY_TOPIC,
@@ -105,7 +113,7 @@
                     timeout=APPEND_TIMEOUT,
                 )
             except AppendConflictError:
-                # The tail shows what was written meanwhile.
+                # The consumer reads the records that were written meanwhile.
                 return None
 
     def _apply(self, offset: int, data: bytes) -> None:
@@ -114,17 +122,17 @@
         except ValueError as error:
             log_event("duty.record_unreadable", offset=offset, reason=error)
             return
-        before = self.duty_state.holder
+        previous_holder = self.duty_state.holder
         self.duty_state.apply(offset, record)
-        if self.duty_state.holder != before:
+        if self.duty_state.holder != previous_holder:
             log_event(
                 "lease.holder", holder=self.duty_state.holder, term=self.duty_state.term
             )
 
-    def _note_read(self) -> None:
+    def _on_caught_up(self) -> None:
         self.duty_state.end_offset = max(
             self.duty_state.end_offset, self.consumer.end_offset
         )
-        if self.consumer.reconnected_at > self._returned_at:
-            self._returned_at = self.consumer.reconnected_at
+        if self.consumer.reconnected_at > self._reconnected_at:
+            self._reconnected_at = self.consumer.reconnected_at
             self.duty_state.reset_last_record_at()
--- a/buckthornstile/gateway/_model_load_dispatcher.py
+++ b/buckthornstile/gateway/_model_load_dispatcher.py
@@ -1,4 +1,4 @@
-"""Orders loads of weights while this process holds the lease."""
+"""Sends orders to load model versions while this process holds the lease."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -19,22 +19,22 @@
 from buckthornstile.topology import TopologyView, Upstream
 
 ORDER_TIMEOUT = 0.5
-"""Seconds for an order; shorter than what a successor waits beyond the lease."""
+"""Seconds for an order; less than the next holder waits after the lease expired."""
 REPORT_TIMEOUT = 0.6
-"""Seconds for an engine to tell its state."""
+"""Seconds for an engine to report its state."""
 
 
 class ModelLoadDispatcher:
-    """Sends the orders that the planner wants, and asks for what became of them.
+    """Sends the planned load orders and requests the state of the engines.
 
     Args:
-        node: The VM's name, under which engines know the holder.
-        lease_manager: Tells whether this process holds the lease.
-        view: The topology in force.
-        planner: Plans loads.
-        pool: Connections to upstreams.
-        on_version_loaded: Called when an engine was found to hold a new version.
-        record_failure: Called when an engine did not answer.
+        node: Name of the VM; identifies the lease holder to the engines.
+        lease_manager: Manages the lease.
+        view: The topology in effect.
+        planner: Plans the loads.
+        pool: Connections to the upstreams.
+        on_version_loaded: Called when an engine reports a newer version.
+        record_failure: Called with an upstream that sent no valid report.
     """
 
     def __init__(
@@ -58,21 +58,21 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def order(self) -> None:
-        """Sends what is due now; answers are taken in later."""
-        if not self.lease_manager.may_act():
+        """Starts sending the orders and report requests that are due."""
+        if not self.lease_manager.can_act():
             return
         loads = self.planner.plan()
         for name in self.planner.list_upstreams_to_poll():
             self.planner.record_unknown_outcome(name)
-            self._spawn(self._ask(name))
+            self._spawn(self._request_report(name))
         for load in loads:
             expected_orders = self.planner.get_order_count(load.upstream)
             if expected_orders is not None:
                 self.planner.record_unknown_outcome(load.upstream)
-                self._spawn(self._send(load, expected_orders))
+                self._spawn(self._send_order(load, expected_orders))
 
     def list_unpublished_versions(self) -> LoadedVersions:
-        """Lists what engines hold that their entries do not show yet."""
+        """Returns the versions that engines hold but the topology does not show yet."""
         if not self.lease_manager.lease.is_held():
             return {}
         return {
@@ -80,12 +80,12 @@
             for name, versions in self.planner.list_unpublished_versions().items()
         }
 
-    def _spawn(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _send(self, load: PlannedModelLoad, expected_orders: int) -> None:
+    async def _send_order(self, load: PlannedModelLoad, expected_orders: int) -> None:
         upstream = self.view.upstreams.get(load.upstream)
         if upstream is None:
             return
@@ -100,11 +100,11 @@
         )
         outcome = "unanswered"
         try:
-            async with asyncio.timeout(self.lease_manager.bound(ORDER_TIMEOUT)):
-                answer = await self.pool.send(
+            async with asyncio.timeout(self.lease_manager.clamp_timeout(ORDER_TIMEOUT)):
+                response = await self.pool.send(
                     upstream.address, encode_order(order), new_connection=True
                 )
-            result = decode_order_answer(answer)
+            result = decode_order_answer(response)
             outcome = result.value
             if result is LoadOrderResult.ACCEPTED:
                 self.planner.record_accepted(load)
@@ -127,21 +127,21 @@
         configuration = self.view.configuration
         routes = configuration.routes if configuration else ()
         for route in routes:
-            names = [name for name, _ in route.services]
-            if service in names and route.requires_single_version:
+            service_names = [name for name, _ in route.services]
+            if service in service_names and route.requires_single_version:
                 return LoadMode.FINISH_FIRST
         return LoadMode.CONTINUE
 
-    async def _ask(self, name: UpstreamId) -> None:
+    async def _request_report(self, name: UpstreamId) -> None:
         upstream = self.view.upstreams.get(name)
         if upstream is None:
             return
         try:
             async with asyncio.timeout(REPORT_TIMEOUT):
-                answer = await self.pool.send(
+                response = await self.pool.send(
                     upstream.address, encode_report_request(upstream.id)
                 )
-            report = decode_report(answer)
+            report = decode_report(response)
         except (TimeoutError, BuckthornstileError, ValueError) as error:
             self.record_failure(upstream)
             log_event("engine.report_failed", upstream=name, reason=repr(error))
--- a/buckthornstile/gateway/_usage_reporter.py
+++ b/buckthornstile/gateway/_usage_reporter.py
@@ -10,23 +10,24 @@
 from buckthornstile.platform import DutyClient
 
 REPORT_TIMEOUT = 0.5
-"""Seconds for a report; shorter than what a successor waits beyond the lease."""
-REPORT_PAUSE = 0.3
-"""Seconds before a report that failed is made again."""
+"""Seconds for a report; less than the next holder waits after the lease expired."""
+REPORT_RETRY_DELAY = 0.3
+"""Seconds before a failed report is retried."""
 
 
 class UsageReporter:
-    """Appends a seal for each window that is over, then reports from the seal.
+    """Appends a seal for each window that has ended, then reports the sealed counts.
 
     Args:
-        node: The VM's name, under which the platform knows the holder.
-        lease_manager: Tells whether this process holds the lease.
-        totals: Sums usage.
-        client: Calls to the platform.
-        wall_clock: Seconds since the epoch.
-        due: Seconds after its end in which a window is to be reported.
-        list_pending_processes: Gives the processes that may still have counts to
-            tell: also those that cannot append yet after an outage of the store.
+        node: Name of the VM; identifies the lease holder to the platform.
+        lease_manager: Manages the lease.
+        totals: Sums the usage of each window.
+        client: Client of the platform's duty calls.
+        wall_clock: Returns the seconds since the Unix epoch.
+        due: Seconds after the end of a window within which it must be reported.
+        list_pending_processes: Returns the processes that may still have counts to
+            publish, including those that cannot append yet after an outage of the
+            store.
     """
 
     def __init__(
@@ -49,47 +50,48 @@
         self.list_pending_processes = list_pending_processes
 
     async def report(self) -> None:
-        """Seals and reports what is due now.
+        """Seals and reports the windows that are due.
 
         Raises:
-            PlatformUnavailableError: The store did not take a seal.
+            PlatformUnavailableError: The append of a seal failed or its outcome is
+                unknown.
         """
-        if not self.lease_manager.may_act():
+        if not self.lease_manager.can_act():
             return
         wall_time = self.wall_clock()
-        fold = self.lease_manager.duty_state
+        duty_state = self.lease_manager.duty_state
         unsealed = self.totals.find_windows_to_seal(
-            fold.seals, wall_time, self.due, self.list_pending_processes()
+            duty_state.seals, wall_time, self.due, self.list_pending_processes()
         )
         for window in unsealed:
             record = SealRecord(window, self.totals.sum_window(window))
             offset = await self.lease_manager.append(record)
             if offset is None:
                 return
-            fold.apply(offset, record)
+            duty_state.apply(offset, record)
             log_event("usage.sealed", window=window, counts=dict(record.counts))
-        for seal in list(fold.seals.values()):
+        for seal in list(duty_state.seals.values()):
             if not seal.is_reported:
                 await self._report(seal, wall_time)
 
     async def _report(self, seal: SealRecord, wall_time: float) -> None:
-        fold = self.lease_manager.duty_state
+        duty_state = self.lease_manager.duty_state
         age = wall_time - (seal.window + 1) * self.totals.window
-        if age > self.due or not self.lease_manager.may_act():
+        if age > self.due or not self.lease_manager.can_act():
             return
         try:
             await self.client.report_usage(
                 seal.window,
                 seal.counts,
                 holder=self.node,
-                term=fold.term,
-                timeout=self.lease_manager.bound(REPORT_TIMEOUT),
+                term=duty_state.term,
+                timeout=self.lease_manager.clamp_timeout(REPORT_TIMEOUT),
             )
         except PlatformUnavailableError as error:
             log_event("usage.report_failed", window=seal.window, reason=error.message)
-            await asyncio.sleep(REPORT_PAUSE)
+            await asyncio.sleep(REPORT_RETRY_DELAY)
             return
         record = SealRecord(seal.window, seal.counts, is_reported=True)
-        log_event("usage.reported", window=seal.window, term=fold.term, age=age)
-        fold.apply(fold.end_offset - 1, record)
+        log_event("usage.reported", window=seal.window, term=duty_state.term, age=age)
+        duty_state.apply(duty_state.end_offset - 1, record)
         await self.lease_manager.append(record)
