--- a/buckthornstile/consumers/__init__.py
+++ b/buckthornstile/consumers/__init__.py
@@ -1,4 +1,4 @@
-"""Following the partitions of the store."""
+"""Consumers of the store's partitions."""
 
 from buckthornstile.consumers._partition_consumer import PartitionConsumer
 
--- a/buckthornstile/consumers/_partition_consumer.py
+++ b/buckthornstile/consumers/_partition_consumer.py
@@ -1,4 +1,4 @@
-"""Follows a partition of the store and keeps track of how fresh it is."""
+"""Consumes a partition of the store and tracks how stale its records are."""
 
 import asyncio
 import random
@@ -14,40 +14,40 @@
     decode_keyed_record,
 )
 
-FIRST_RETRY = 0.05
-"""Seconds before a failed read is made again; doubles up to the longest."""
-LONGEST_RETRY = 0.4
-"""Seconds; the store's return must be noticed well within the tightest bound."""
+INITIAL_RETRY_DELAY = 0.05
+"""Seconds before a failed read is retried; doubles up to ``MAX_RETRY_DELAY``."""
+MAX_RETRY_DELAY = 0.4
+"""Seconds; a store's return must be noticed well within every staleness limit."""
 READ_TIMEOUT = 0.7
-"""Seconds beyond the wait asked for; ten times a slow store's usual answer."""
+"""Seconds beyond the requested wait; ten times a slow store's usual response time."""
 
 PAGE_TIMEOUT = 3.0
-"""Seconds for a page of the newest records, up to 1.4 MB on a slow link."""
+"""Seconds for one page of the latest records, up to 1.4 MB on a slow link."""
 
 OnRecord = Callable[[KeyedRecord], None]
 OnSnapshot = Callable[[list[KeyedRecord]], None]
 
 
 class PartitionConsumer:
-    """Follows one partition.
+    """Consumes one partition.
 
-    ``synced_at`` is the time at which the newest successful read was sent: whatever
-    the store acknowledged before is known.
+    ``synced_at`` is the time at which the latest read that reached the end was sent:
+    all records that the store acknowledged before then have been consumed.
 
     Args:
-        store: The store.
-        topic: The topic.
-        part: Its partition.
-        clock: Gives the time in seconds; it must go on while suspended.
-        max_wait: Seconds that the store may hold a read without a record.
-        poll_interval: Seconds between two reads, to fetch several records at once.
+        store: Client of the store.
+        topic: Name of the topic.
+        part: Number of the partition.
+        clock: Returns the time in seconds; must also advance during suspend.
+        max_wait: Seconds for which the store may hold a read without a record.
+        poll_interval: Seconds between two reads, so that one fetches several records.
         on_record: Called with each record of a keyed topic.
-        on_snapshot: Called with the newest record of each key, at the start and after
+        on_snapshot: Called with the latest record of each key, at the start and after
             history was dropped; None for a topic without keys.
         on_raw_record: Called with offset and bytes, for a topic without keys.
         on_caught_up: Called after each read that reached the end.
-        ordered: Whether records must come in the order of their offsets: pages
-            then give only what lies before the end that the first one told.
+        ordered: Whether records must arrive in the order of their offsets. The
+            snapshot then holds only records before the end offset of its first page.
     """
 
     def __init__(
@@ -80,25 +80,32 @@
         self.end_offset = 0
         self.disconnected_at: float | None = clock()
         self.reconnected_at = -1e9
-        self._next: int | None = None
-        self._pages: LatestRecords | None = None
-        self._read_waiters: list[tuple[float, asyncio.Future[None]]] = []
-        self._hurry = asyncio.Event()
+        self._next_offset: int | None = None
+        self._latest_records: LatestRecords | None = None
+        self._sync_waiters: list[tuple[float, asyncio.Future[None]]] = []
+        self._read_requested = asyncio.Event()
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the partition was read once to its end."""
-        return self._next is not None
+        """Whether the snapshot was read; for a topic without keys, a read was sent."""
+        return self._next_offset is not None
 
     def get_staleness(self) -> float:
-        """Seconds since the newest successful read was sent."""
+        """Returns the seconds since the latest read that reached the end was sent."""
         return self.clock() - self.synced_at
 
     async def wait_until_synced(self, timeout: float) -> bool:
-        """Waits for a read that is sent from now on to succeed."""
+        """Waits for a read that is sent from now on to reach the end.
+
+        Args:
+            timeout: Seconds to wait.
+
+        Returns:
+            Whether such a read succeeded in time.
+        """
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._read_waiters.append((self.clock(), waiter))
-        self._hurry.set()
+        self._sync_waiters.append((self.clock(), waiter))
+        self._read_requested.set()
         try:
             async with asyncio.timeout(timeout):
                 await waiter
@@ -107,72 +114,79 @@
         return True
 
     async def run(self) -> None:
-        """Follows the partition until cancelled."""
-        retry = FIRST_RETRY
+        """Consumes the partition until cancelled."""
+        retry_delay = INITIAL_RETRY_DELAY
         while True:
             sent_at = self.clock()
             try:
                 await self._read_once()
             except OffsetOutOfRangeError as error:
                 log_event("store.history_dropped", topic=self.topic, part=self.part)
-                self._next = None if self.on_snapshot else error.first_offset
+                self._next_offset = None if self.on_snapshot else error.first_offset
                 continue
             except (BuckthornstileError, ValueError, KeyError, TypeError) as error:
-                self._note_failure(error)
-                await asyncio.sleep(retry * random.uniform(0.7, 1.3))
-                retry = min(LONGEST_RETRY, retry * 2)
+                self._record_failure(error)
+                await asyncio.sleep(retry_delay * random.uniform(0.7, 1.3))
+                retry_delay = min(MAX_RETRY_DELAY, retry_delay * 2)
                 continue
-            retry = FIRST_RETRY
-            self._note_success(sent_at)
-            if self.poll_interval and not self._read_waiters:
+            retry_delay = INITIAL_RETRY_DELAY
+            self._record_success(sent_at)
+            if self.poll_interval and not self._sync_waiters:
                 await self._sleep(self.poll_interval)
 
     async def _sleep(self, seconds: float) -> None:
-        self._hurry.clear()
+        self._read_requested.clear()
         try:
             async with asyncio.timeout(seconds):
-                await self._hurry.wait()
+                await self._read_requested.wait()
         except TimeoutError:
             return
 
     async def _read_once(self) -> None:
-        wait = 0.0 if self._read_waiters else self.max_wait
-        if self._next is None:
+        wait = 0.0 if self._sync_waiters else self.max_wait
+        if self._next_offset is None:
             if self.on_snapshot is None:
-                self._next = 0
+                self._next_offset = 0
             else:
-                self._next = await self._load()
+                self._next_offset = await self._load_snapshot()
                 if not self.ordered:
                     return
                 wait = 0.0
         data = await self.store.read(
-            self.topic, self.part, self._next, wait=wait, timeout=READ_TIMEOUT
+            self.topic, self.part, self._next_offset, wait=wait, timeout=READ_TIMEOUT
         )
         for offset, record in data.records:
             self._apply(offset, record)
-        self._next = max(self._next, data.next_offset)
+        self._next_offset = max(self._next_offset, data.next_offset)
         self.end_offset = data.end_offset
 
-    async def _load(self) -> int:
-        """Reads the newest record of each key; pages that were read are kept.
+    async def _load_snapshot(self) -> int:
+        """Reads the latest record of each key, page by page.
+
+        After a failed page, the next call continues with that page.
 
         Returns:
-            The offset to read on from.
+            The offset to continue reading from.
         """
         assert self.on_snapshot is not None
-        pages = self._pages = self._pages or LatestRecords()
-        while not pages.is_complete:
+        latest_records = self._latest_records = self._latest_records or LatestRecords()
+        while not latest_records.is_complete:
             await self.store.read_latest_page(
-                self.topic, self.part, pages, timeout=PAGE_TIMEOUT
+                self.topic, self.part, latest_records, timeout=PAGE_TIMEOUT
             )
-        self._pages = None
-        records = pages.records
+        self._latest_records = None
+        records = latest_records.records
         if self.ordered:
-            # Later pages show later records, but not all that lie between.
-            records = [record for record in records if record.offset < pages.end_offset]
+            # Later pages contain some of the records that were appended since the
+            # first page, but not all of them.
+            records = [
+                record
+                for record in records
+                if record.offset < latest_records.end_offset
+            ]
         self.on_snapshot(records)
-        self.end_offset = pages.end_offset
-        return pages.end_offset
+        self.end_offset = latest_records.end_offset
+        return latest_records.end_offset
 
     def _apply(self, offset: int, record: bytes) -> None:
         if self.on_raw_record is not None:
@@ -186,7 +200,7 @@
         assert self.on_record is not None
         self.on_record(decoded)
 
-    def _note_failure(self, error: Exception) -> None:
+    def _record_failure(self, error: Exception) -> None:
         if self.disconnected_at is None:
             self.disconnected_at = self.clock()
             log_event(
@@ -199,7 +213,7 @@
         if not isinstance(error, PlatformUnavailableError):
             log_event("store.read_failed", topic=self.topic, reason=repr(error))
 
-    def _note_success(self, sent_at: float) -> None:
+    def _record_success(self, sent_at: float) -> None:
         if self.disconnected_at is not None:
             log_event(
                 "store.regained",
@@ -209,15 +223,15 @@
             )
             self.disconnected_at = None
             self.reconnected_at = self.clock()
-        if self._next is None or self._next < self.end_offset:
+        if self._next_offset is None or self._next_offset < self.end_offset:
             return
         self.synced_at = sent_at
-        kept = []
-        for asked_at, waiter in self._read_waiters:
-            if asked_at > sent_at:
-                kept.append((asked_at, waiter))
+        remaining = []
+        for registered_at, waiter in self._sync_waiters:
+            if registered_at > sent_at:
+                remaining.append((registered_at, waiter))
             elif not waiter.done():
                 waiter.set_result(None)
-        self._read_waiters = kept
+        self._sync_waiters = remaining
         if self.on_caught_up is not None:
             self.on_caught_up()
--- a/buckthornstile/http_client/__init__.py
+++ b/buckthornstile/http_client/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP exchanges with upstreams and with the platform."""
+"""HTTP client with a connection pool, for upstreams and the platform."""
 
 from buckthornstile.http_client._connection_pool import (
     ConnectionPool,
--- a/buckthornstile/http_client/_connection_pool.py
+++ b/buckthornstile/http_client/_connection_pool.py
@@ -1,4 +1,4 @@
-"""One HTTP request and its answer, over kept connections."""
+"""Sends HTTP requests over pooled keep-alive connections."""
 
 import asyncio
 import ipaddress
@@ -20,35 +20,35 @@
 from buckthornstile.base import BuckthornstileError, ErrorCode, Verdict
 
 CONNECT_TIMEOUT = 0.3
-"""Seconds; a lost opening packet is sent again only after one second."""
+"""Seconds; a lost SYN packet is retransmitted only after one second."""
 USER_TIMEOUT_MS = 3000
-"""Milliseconds of unacknowledged bytes after which a connection is dead."""
+"""Milliseconds after which a connection with unacknowledged data is closed."""
 DEFAULT_IDLE_SECONDS = 3.0
-"""Seconds a connection is kept where the peer names no time of its own."""
+"""Seconds that an idle connection is kept if the peer states no timeout."""
 IDLE_MARGIN = 0.5
-"""Seconds before the peer's own idle timeout at which a connection is left."""
+"""Seconds before the peer's idle timeout at which a connection is dropped."""
 MAX_HEADER_BYTES = 64 << 10
 CHUNK_BYTES = 64 << 10
-MAX_ANSWER_BYTES = 64 << 20
+MAX_RESPONSE_BYTES = 64 << 20
 INFORMATIONAL_STATUS_END = 200
 NO_LINGER = struct.pack("ii", 1, 0)
-"""On, for no time: closing resets the connection."""
+"""``SO_LINGER`` on, with a timeout of zero: closing resets the connection."""
 
-# Answers that fail to parse are counted and reported by the caller.
+# The caller counts and logs responses that cannot be parsed.
 logging.getLogger("tornado.general").setLevel(logging.CRITICAL)
 
 
 @dataclass(frozen=True, slots=True)
 class HTTPRequest:
-    """A request to a peer.
+    """An HTTP request.
 
     Args:
         method: The HTTP method.
         target: Path and query.
-        headers: Names and values, without those of the connection.
+        headers: Names and values, without the headers of the connection.
         body: The body; None sends no ``Content-Length``.
-        echo_header: A header that the answer must repeat, or empty.
-        echo: The value that it must have.
+        echo_header: Name of a header that the response must repeat, or empty.
+        echo: The value that this header must have.
     """
 
     method: str
@@ -61,29 +61,29 @@
 
 @dataclass(slots=True)
 class HTTPResponse:
-    """An answer whose head has arrived; ``body`` grows until it is whole."""
+    """An HTTP response; ``body`` grows until it is complete."""
 
     status: int
     headers: HTTPHeaders
     body: bytearray = field(default_factory=bytearray)
 
 
-OnHead = Callable[[HTTPResponse], None]
+OnHeaders = Callable[[HTTPResponse], None]
 OnData = Callable[[bytes], Awaitable[None] | None]
-"""Takes a part of the body; the connection is not read while it waits."""
+"""Receives a chunk of the body; reading pauses until a returned awaitable is done."""
 
 
-class _Reader(HTTPMessageDelegate):
-    def __init__(self, request: HTTPRequest, stream: IOStream, reused: bool) -> None:
+class _ResponseReader(HTTPMessageDelegate):
+    def __init__(self, request: HTTPRequest, stream: IOStream, is_reused: bool) -> None:
         self.request = request
         self.stream = stream
-        self.reused = reused
-        self.answer: HTTPResponse | None = None
-        self.on_headers: OnHead | None = None
+        self.is_reused = is_reused
+        self.response: HTTPResponse | None = None
+        self.on_headers: OnHeaders | None = None
         self.on_data: OnData | None = None
-        self.finished = False
-        self.crossed = False
-        self.length_declared = False
+        self.is_finished = False
+        self.is_mismatched = False
+        self.has_declared_length = False
         self.keeps_alive = False
 
     def headers_received(
@@ -96,41 +96,43 @@
             return
         if self.request.echo_header:
             echo = headers.get(self.request.echo_header)
-            if echo != self.request.echo and (echo is not None or self.reused):
-                self.crossed = True
+            if echo != self.request.echo and (echo is not None or self.is_reused):
+                self.is_mismatched = True
                 self.stream.close()
                 return
-        chunked = headers.get("Transfer-Encoding", "").lower() == "chunked"
-        bodiless = start_line.code in (204, 304)
-        self.length_declared = chunked or bodiless or "Content-Length" in headers
+        is_chunked = headers.get("Transfer-Encoding", "").lower() == "chunked"
+        has_no_body = start_line.code in (204, 304)
+        self.has_declared_length = (
+            is_chunked or has_no_body or "Content-Length" in headers
+        )
         self.keeps_alive = (
             start_line.version == "HTTP/1.1"
             and headers.get("Connection", "").lower() != "close"
         )
-        self.answer = HTTPResponse(start_line.code, headers)
+        self.response = HTTPResponse(start_line.code, headers)
         if self.on_headers is not None:
-            self.on_headers(self.answer)
+            self.on_headers(self.response)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        if self.answer is None:
+        if self.response is None:
             return None
         if self.on_data is not None:
             return self.on_data(chunk)
-        self.answer.body += chunk
+        self.response.body += chunk
         return None
 
     def finish(self) -> None:
-        self.finished = True
+        self.is_finished = True
 
     def on_connection_close(self) -> None:
         pass
 
 
 class ConnectionPool:
-    """Makes HTTP exchanges with many peers and keeps their connections.
+    """Sends HTTP requests to many peers and reuses their connections.
 
     Args:
-        max_idle_per_peer: Connections kept for each peer.
+        max_idle_per_peer: Maximum number of idle connections kept for each peer.
 
     Example:
         >>> ConnectionPool().max_idle_per_peer
@@ -146,48 +148,49 @@
         address: str,
         request: HTTPRequest,
         *,
-        on_headers: OnHead | None = None,
+        on_headers: OnHeaders | None = None,
         on_data: OnData | None = None,
         connect_timeout: float = CONNECT_TIMEOUT,
         new_connection: bool = False,
         before_send: Callable[[], None] | None = None,
     ) -> HTTPResponse:
-        """Sends a request and reads its answer to the end.
+        """Sends a request and reads its complete response.
 
-        Cancelling the caller's task closes the connection.
+        Cancelling the calling task resets the connection.
 
         Args:
             address: The peer, as ``IP:port``.
             request: The request.
-            on_headers: Called when status and headers are there.
-            on_data: Called with each part of the body, in place of collecting it.
-            connect_timeout: Seconds for a new connection to stand.
-            new_connection: Use a new connection.
-            before_send: Called last before the request is written; raises if it may
-                not be sent any more.
+            on_headers: Called when the status and headers have arrived.
+            on_data: Called with each chunk of the body, which is then not collected.
+            connect_timeout: Seconds for opening a new connection.
+            new_connection: Whether to open a new connection instead of reusing one.
+            before_send: Called just before the request is written; raises if the
+                request must no longer be sent.
 
         Returns:
-            The whole answer.
+            The complete response.
 
         Raises:
-            BuckthornstileError: The verdict is NOT_RUN only if no byte left.
+            BuckthornstileError: The request failed; the verdict is NOT_RUN only if no
+                byte of it was sent.
         """
-        stream = None if new_connection else self._take(address)
-        reused = stream is not None
+        stream = None if new_connection else self._take_idle(address)
+        is_reused = stream is not None
         if stream is None:
             stream = await _connect(address, connect_timeout)
-        reader = _Reader(request, stream, reused)
+        reader = _ResponseReader(request, stream, is_reused)
         reader.on_headers, reader.on_data = on_headers, on_data
-        kept = False
+        is_kept = False
         try:
-            is_open = await _run(stream, request, reader, before_send)
-            answer = _check_whole(stream, reader)
-            kept = is_open and reader.keeps_alive and reader.length_declared
-            if kept:
-                self._keep(address, stream, answer.headers)
-            return answer
+            is_open = await _exchange(stream, request, reader, before_send)
+            response = _check_complete(stream, reader)
+            is_kept = is_open and reader.keeps_alive and reader.has_declared_length
+            if is_kept:
+                self._keep_idle(address, stream, response.headers)
+            return response
         finally:
-            if not kept:
+            if not is_kept:
                 _reset(stream)
 
     def close_idle(self, address: str) -> None:
@@ -200,17 +203,17 @@
         for address in list(self._idle):
             self.close_idle(address)
 
-    def _take(self, address: str) -> IOStream | None:
+    def _take_idle(self, address: str) -> IOStream | None:
         idle = self._idle.get(address)
         now = asyncio.get_running_loop().time()
         while idle:
-            stream, until = idle.pop()
-            if now < until and is_reusable(stream):
+            stream, expires_at = idle.pop()
+            if now < expires_at and is_reusable(stream):
                 return stream
             stream.close()
         return None
 
-    def _keep(self, address: str, stream: IOStream, headers: HTTPHeaders) -> None:
+    def _keep_idle(self, address: str, stream: IOStream, headers: HTTPHeaders) -> None:
         idle = self._idle.setdefault(address, [])
         if len(idle) >= self.max_idle_per_peer:
             stream.close()
@@ -219,8 +222,8 @@
         if seconds <= IDLE_MARGIN:
             stream.close()
             return
-        until = asyncio.get_running_loop().time() + seconds - IDLE_MARGIN
-        idle.append((stream, until))
+        expires_at = asyncio.get_running_loop().time() + seconds - IDLE_MARGIN
+        idle.append((stream, expires_at))
 
 
 async def _connect(address: str, timeout: float) -> IOStream:
@@ -240,7 +243,7 @@
             stream.close()
         raise BuckthornstileError(
             ErrorCode.UPSTREAM_FAILED,
-            f"no connection to {address}: {type(error).__name__}",
+            f"cannot connect to {address}: {type(error).__name__}",
             verdict=Verdict.NOT_RUN,
         ) from error
     except BaseException:
@@ -250,16 +253,16 @@
     return stream
 
 
-async def _run(
+async def _exchange(
     stream: IOStream,
     request: HTTPRequest,
-    reader: _Reader,
+    reader: _ResponseReader,
     before_send: Callable[[], None] | None,
 ) -> bool:
     parameters = HTTP1ConnectionParameters(
         chunk_size=CHUNK_BYTES,
         max_header_size=MAX_HEADER_BYTES,
-        max_body_size=MAX_ANSWER_BYTES,
+        max_body_size=MAX_RESPONSE_BYTES,
     )
     connection = HTTP1Connection(stream, True, parameters)
     headers = HTTPHeaders()
@@ -271,8 +274,8 @@
     if before_send is not None:
         before_send()
     try:
-        sent = connection.write_headers(line, headers, request.body or None)
-        sent.add_done_callback(_consume_error)
+        write_future = connection.write_headers(line, headers, request.body or None)
+        write_future.add_done_callback(_consume_error)
         connection.finish()
         return await connection.read_response(reader)
     except StreamClosedError:
@@ -280,39 +283,47 @@
 
 
 def _reset(stream: IOStream) -> None:
-    """Closes a connection so that no byte of it arrives any more.
+    """Resets a connection, so that no unsent byte is delivered later.
 
-    After a plain close, a request that a partition holds up would still be sent
-    when the partition heals.
+    After a plain close, the kernel would still deliver a request that a network
+    partition delays, once the partition ends.
     """
     if not stream.closed():
         stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
     stream.close()
 
 
-def _consume_error(sent: "asyncio.Future[None]") -> None:
-    # A write that fails shows again as an answer that never comes.
-    if not sent.cancelled():
-        sent.exception()
+def _consume_error(write_future: "asyncio.Future[None]") -> None:
+    # A failed write also shows as a missing response, which is reported.
+    if not write_future.cancelled():
+        write_future.exception()
 
 
-def _check_whole(stream: IOStream, reader: _Reader) -> HTTPResponse:
-    answer = reader.answer
-    if reader.crossed:
-        code, message = ErrorCode.ANSWER_CROSSED, "the answer names another request"
-    elif answer is None:
-        code, message = ErrorCode.UPSTREAM_FAILED, "the connection ended unanswered"
-    elif not reader.finished or not (reader.length_declared or stream.error is None):
-        code, message = ErrorCode.ANSWER_TRUNCATED, "the answer ended early"
+def _check_complete(stream: IOStream, reader: _ResponseReader) -> HTTPResponse:
+    response = reader.response
+    if reader.is_mismatched:
+        code, message = (
+            ErrorCode.ANSWER_CROSSED,
+            "the response belongs to another request",
+        )
+    elif response is None:
+        code, message = (
+            ErrorCode.UPSTREAM_FAILED,
+            "the connection closed before a response arrived",
+        )
+    elif not reader.is_finished or not (
+        reader.has_declared_length or stream.error is None
+    ):
+        code, message = ErrorCode.ANSWER_TRUNCATED, "the response ended early"
     else:
-        return answer
+        return response
     raise BuckthornstileError(code, message, verdict=Verdict.MAY_HAVE_RUN)
 
 
 def is_reusable(stream: IOStream) -> bool:
-    """Whether an idle connection is open and holds nothing unread.
+    """Whether an idle connection is open and has no unread bytes.
 
-    Bytes that nobody asked for are a late or doubled answer.
+    Unread bytes on an idle connection are a late or duplicate response.
     """
     if stream.closed() or stream._read_buffer_size:
         return False
--- a/buckthornstile/http_client/tests/test_connection_pool.py
+++ b/buckthornstile/http_client/tests/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Exchanges over kept connections, against a server that misbehaves byte by byte."""
+"""Tests the connection pool against a server that sends malformed responses."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,7 +12,9 @@
 REQUEST = HTTPRequest("POST", "/x", [("Host", "h")], b"hi", "Request-Id", "r1")
 
 
-def play(serve: Serve, test: Callable[[ConnectionPool, str], Awaitable[None]]) -> None:
+def run_test(
+    serve: Serve, test: Callable[[ConnectionPool, str], Awaitable[None]]
+) -> None:
     async def run() -> None:
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
@@ -32,24 +34,28 @@
     return head + await reader.readexactly(2)
 
 
-def make_answer(body: bytes = b"ok", *, more: str = "", echo: str = "r1") -> bytes:
+def make_response(
+    body: bytes = b"ok", *, extra_headers: str = "", echo: str = "r1"
+) -> bytes:
     head = f"HTTP/1.1 200 OK\r\nRequest-Id: {echo}\r\nContent-Length: {len(body)}\r\n"
-    return f"{head}{more}\r\n".encode() + body
+    return f"{head}{extra_headers}\r\n".encode() + body
 
 
-def serve_each(*answers: bytes, then_close: bool = False) -> tuple[Serve, list[int]]:
-    """Serves the answers in turn; gives the requests of each connection."""
-    left = list(answers)
+def serve_in_turn(
+    *responses: bytes, then_close: bool = False
+) -> tuple[Serve, list[int]]:
+    """Returns a server of the responses in turn, and its requests per connection."""
+    pending = list(responses)
     counts: list[int] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         counts.append(0)
-        mine = len(counts) - 1
+        connection = len(counts) - 1
         try:
-            while left:
+            while pending:
                 await read_request(reader)
-                counts[mine] += 1
-                writer.write(left.pop(0))
+                counts[connection] += 1
+                writer.write(pending.pop(0))
                 await writer.drain()
                 if then_close:
                     break
@@ -60,67 +66,72 @@
     return serve, counts
 
 
-def test_nothing_is_sent_after_a_check_that_raises() -> None:
-    """The process may have been paused while it connected."""
-    serve, counts = serve_each(make_answer())
+def test_nothing_is_sent_if_before_send_raises() -> None:
+    """The process may be paused while it connects.
 
-    def check() -> None:
+    The request must not be sent if it is no longer allowed afterwards.
+    """
+    serve, counts = serve_in_turn(make_response())
+
+    def reject() -> None:
         raise BuckthornstileError(ErrorCode.CONFIGURATION_OLD)
 
     async def test(pool: ConnectionPool, address: str) -> None:
         with pytest.raises(BuckthornstileError) as caught:
-            await pool.send(address, REQUEST, before_send=check)
+            await pool.send(address, REQUEST, before_send=reject)
         assert caught.value.verdict is Verdict.NOT_RUN
-        answer = await pool.send(address, REQUEST)
-        assert bytes(answer.body) == b"ok"
+        response = await pool.send(address, REQUEST)
+        assert bytes(response.body) == b"ok"
 
-    play(serve, test)
+    run_test(serve, test)
     assert sum(counts) == 1
 
 
-def test_connection_is_kept_and_used_again() -> None:
-    serve, counts = serve_each(make_answer(), make_answer())
+def test_connection_is_reused() -> None:
+    serve, counts = serve_in_turn(make_response(), make_response())
 
     async def test(pool: ConnectionPool, address: str) -> None:
         for _ in range(2):
-            answer = await pool.send(address, REQUEST)
-            assert (answer.status, bytes(answer.body)) == (200, b"ok")
+            response = await pool.send(address, REQUEST)
+            assert (response.status, bytes(response.body)) == (200, b"ok")
 
-    play(serve, test)
+    run_test(serve, test)
     assert counts == [2]
 
 
 @pytest.mark.parametrize(
     "first",
     [
-        make_answer() + b"HTTP/1.1 200 OK\r\n",
-        make_answer(more="Connection: close\r\n"),
-        make_answer(more="Keep-Alive: timeout=0\r\n"),
+        make_response() + b"HTTP/1.1 200 OK\r\n",
+        make_response(extra_headers="Connection: close\r\n"),
+        make_response(extra_headers="Keep-Alive: timeout=0\r\n"),
     ],
 )
-def test_connection_that_cannot_be_trusted_is_not_used_again(first: bytes) -> None:
-    serve, counts = serve_each(first, make_answer())
+def test_unusable_connection_is_not_reused(first: bytes) -> None:
+    serve, counts = serve_in_turn(first, make_response())
 
     async def test(pool: ConnectionPool, address: str) -> None:
         await pool.send(address, REQUEST)
         await asyncio.sleep(0.02)
         assert bytes((await pool.send(address, REQUEST)).body) == b"ok"
 
-    play(serve, test)
+    run_test(serve, test)
     assert counts == [1, 1]
 
 
 @pytest.mark.parametrize(
-    ("answer", "code"),
+    ("response", "code"),
     [
         (b"", ErrorCode.UPSTREAM_FAILED),
         (b"nonsense\r\n\r\n", ErrorCode.UPSTREAM_FAILED),
-        (make_answer(b"whole")[:-2], ErrorCode.ANSWER_TRUNCATED),
-        (make_answer(echo="r9"), ErrorCode.ANSWER_CROSSED),
+        (make_response(b"whole")[:-2], ErrorCode.ANSWER_TRUNCATED),
+        (make_response(echo="r9"), ErrorCode.ANSWER_CROSSED),
     ],
 )
-def test_bad_answer_may_have_run(answer: bytes, code: ErrorCode) -> None:
-    serve, _ = serve_each(answer, then_close=True)
+def test_verdict_of_invalid_response_is_may_have_run(
+    response: bytes, code: ErrorCode
+) -> None:
+    serve, _ = serve_in_turn(response, then_close=True)
 
     async def test(pool: ConnectionPool, address: str) -> None:
         with pytest.raises(BuckthornstileError) as caught:
@@ -128,20 +139,20 @@
         assert caught.value.code is code
         assert caught.value.verdict is Verdict.MAY_HAVE_RUN
 
-    play(serve, test)
+    run_test(serve, test)
 
 
-def test_answer_without_a_length_ends_with_its_connection() -> None:
+def test_response_without_length_ends_when_connection_closes() -> None:
     body = b"HTTP/1.1 200 OK\r\nRequest-Id: r1\r\n\r\nto the end"
-    serve, _ = serve_each(body, then_close=True)
+    serve, _ = serve_in_turn(body, then_close=True)
 
     async def test(pool: ConnectionPool, address: str) -> None:
         assert bytes((await pool.send(address, REQUEST)).body) == b"to the end"
 
-    play(serve, test)
+    run_test(serve, test)
 
 
-def test_no_connection_is_not_run() -> None:
+def test_verdict_of_failed_connection_is_not_run() -> None:
     async def run() -> None:
         with pytest.raises(BuckthornstileError) as caught:
             await ConnectionPool().send("127.0.0.1:1", REQUEST)
@@ -150,24 +161,24 @@
     asyncio.run(run())
 
 
-def test_exchange_that_is_given_up_resets_its_connection() -> None:
-    """Bytes held up on the way must not arrive after the request was given up."""
-    ends: list[str] = []
+def test_cancelled_request_resets_its_connection() -> None:
+    """A request delayed by the network must not arrive after it was cancelled."""
+    end_states: list[str] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         try:
-            ends.append("end" if not await reader.read(1) else "bytes")
+            end_states.append("end" if not await reader.read(1) else "bytes")
         except ConnectionResetError:
-            ends.append("reset")
+            end_states.append("reset")
         writer.close()
 
     async def test(pool: ConnectionPool, address: str) -> None:
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.1):
                 await pool.send(address, REQUEST)
-        while not ends:
+        while not end_states:
             await asyncio.sleep(0.01)
 
-    play(serve, test)
-    assert ends == ["reset"]
+    run_test(serve, test)
+    assert end_states == ["reset"]
--- a/buckthornstile/messages/__init__.py
+++ b/buckthornstile/messages/__init__.py
@@ -1,4 +1,4 @@
-"""Requests of clients, calls to upstreams and their answers."""
+"""Types of client requests, upstream calls and their responses."""
 
 from buckthornstile.messages._types import (
     ClientRequest,
--- a/buckthornstile/messages/_types.py
+++ b/buckthornstile/messages/_types.py
@@ -1,4 +1,4 @@
-"""Requests of clients, and what upstreams answer, in the product's own types."""
+"""Types of client requests, upstream calls and responses, without wire formats."""
 
 from collections.abc import AsyncGenerator, Callable
 from dataclasses import dataclass, field
@@ -12,11 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """One attempt of a client.
+    """One attempt of a client to send a request.
 
-    ``headers`` are those that go on to an upstream. ``remaining_time`` is the seconds
-    that the client still waits, or None. ``wait`` is how long a read of results may
-    be held, in seconds; ``last_event_id`` the last event a client already has.
+    ``headers`` are those that are forwarded to an upstream. ``remaining_time`` is the
+    time for which the client still waits, in seconds, or None. ``wait`` is the time
+    for which a read of results may be held, in seconds. ``last_event_id`` is the id
+    of the last event that the client already has, or None.
     """
 
     id: str
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """What a client is answered; ``retry_after`` is in seconds."""
+    """A response to a client; ``retry_after`` is in seconds."""
 
     status: int
     body: bytes = b""
@@ -49,9 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamingResponse:
-    """An answer whose body arrives in parts.
+    """A response to a client whose body arrives in chunks.
 
-    ``chunks`` ends when the answer is whole, and raises if it never will be.
+    ``chunks`` ends when the response is complete and raises an error if the response
+    cannot be completed. ``retry_after`` is in seconds.
     """
 
     status: int
@@ -62,10 +64,11 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamCall:
-    """A request as it goes to one upstream.
+    """A request as it is sent to one upstream.
 
-    ``urgency`` runs from 0, the most urgent, to 9. ``last_event_id`` asks for the
-    events after that one only.
+    ``remaining_time`` is in seconds. ``urgency`` ranges from 0 (most urgent) to 9.
+    ``last_event_id`` requests only the events after that one. ``version`` is the only
+    version that may run the request, or None for any.
     """
 
     id: str
@@ -84,7 +87,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefixBlock:
-    """A part of a prompt that engines keep: its hash, in hexadecimal, and tokens."""
+    """A block of a prompt prefix that engines cache.
+
+    ``hash`` is in hexadecimal; ``tokens`` is the number of tokens.
+    """
 
     hash: str
     tokens: int
@@ -92,9 +98,9 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationHints:
-    """What a model engine is told of a request beside its body.
+    """Hints about a generation request that a model engine gets beside its body.
 
-    ``expected_tokens`` estimates the length of the answer, or is 0.
+    ``expected_tokens`` is the estimated length of the response, or 0 if unknown.
     """
 
     model: ModelName
@@ -106,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLoad:
-    """What an upstream says of its load at an answer."""
+    """Load that an upstream reports with a response: requests and slots."""
 
     running: int
     waiting: int
@@ -115,10 +121,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """Status and headers of an upstream's answer.
+    """Status and headers of an upstream's response.
 
-    ``is_refusal`` promises that the request was not run. ``version`` is that of
-    the weights that made the first event.
+    ``is_refusal`` guarantees that the request was not run. ``version`` is the version
+    that produced the first event, or None. ``other_upstream`` is the id of the
+    upstream that responded, if the response names one.
     """
 
     status: int
@@ -133,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One event of a stream, with the version of the weights that made it."""
+    """An event of a stream, with the version that produced it."""
 
     id: int
     data: str
@@ -141,7 +148,7 @@
 
 
 class LoadOrderResult(Enum):
-    """What an upstream says to an order."""
+    """Response of an upstream to a load order."""
 
     ACCEPTED = "accepted"
     ALREADY_HOLDS = "already_holds"
@@ -151,7 +158,7 @@
 
 
 class LoadMode(Enum):
-    """What becomes of running requests while an engine loads a version."""
+    """Treatment of running requests while an engine loads a version."""
 
     FINISH_FIRST = "finish_first"
     CONTINUE = "continue"
@@ -159,10 +166,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadOrder:
-    """An order to load a version of a model.
+    """An order to an upstream to load a version of a model.
 
-    ``expected_orders`` is the count of orders that the upstream must have taken so
-    far, so that an order carried out late does nothing.
+    ``expected_orders`` is the number of orders that the upstream must have accepted so
+    far; otherwise it rejects the order, so that a delayed order has no effect.
     """
 
     upstream: UpstreamId
@@ -176,7 +183,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """An engine's own report of its state."""
+    """Report of an engine about its state."""
 
     versions: dict[ModelName, int] = field(default_factory=dict)
     is_busy: bool = False
@@ -185,10 +192,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedCall:
-    """A request with its route, ready to be sent; ``deadline`` is loop time.
+    """A request with its route, ready to be sent.
 
-    ``before_send`` is called last before each send, and raises ``CONFIGURATION_OLD`` if
-    what is known of keys and upstreams has become too old.
+    ``deadline`` is a time of the event loop's clock, in seconds. ``before_send`` is
+    called just before each send and raises ``CONFIGURATION_OLD`` if the known keys and
+    upstreams are too stale.
     """
 
     request: ClientRequest
