--- a/buckthornstile/gateway/_item_execution.py
+++ b/buckthornstile/gateway/_item_execution.py
@@ -29,7 +29,7 @@
 SCORE_RETRY_DELAY = 0.1
 """Seconds before a failed scoring request is retried."""
 ABANDON_MARGIN = 0.5
-"""Seconds after the end of a job's retention at which its items are abandoned."""
+"""Seconds after a job's time limit or retention at which its items are abandoned."""
 NO_ROUTE_RETRY_DELAY = 0.1
 """Seconds before a missing scoring route is looked up again."""
 MAX_AVOIDED_UPSTREAMS = 2
@@ -71,7 +71,7 @@
         return route
 
     def is_expired(self) -> bool:
-        """Whether the job has ended or its retention is over."""
+        """Whether the job has ended, or its time limit or retention has passed."""
         if self.job.ended:
             return True
         retention = self.job.specification.time_limit
--- a/buckthornstile/gateway/_lease_manager.py
+++ b/buckthornstile/gateway/_lease_manager.py
@@ -21,7 +21,7 @@
 APPEND_TIMEOUT = 0.6
 """Seconds for one append to the duty topic."""
 MIN_REMAINING_TIME = 0.15
-"""Seconds that must remain of the lease for a call to be started."""
+"""Seconds that the lease must still last for a call to be started."""
 
 
 class LeaseManager:
@@ -62,7 +62,7 @@
         self._append_lock = asyncio.Lock()
 
     def can_act(self) -> bool:
-        """Whether enough time remains of the lease to start a call."""
+        """Whether this process holds the lease for long enough to start a call."""
         return (
             self.lease.is_held()
             and self.lease.get_remaining_time() > MIN_REMAINING_TIME
--- a/buckthornstile/gateway/_model_load_dispatcher.py
+++ b/buckthornstile/gateway/_model_load_dispatcher.py
@@ -19,7 +19,7 @@
 from buckthornstile.topology import TopologyView, Upstream
 
 ORDER_TIMEOUT = 0.5
-"""Seconds for an order; less than the next holder waits after the lease expired."""
+"""Seconds for an order; shorter than the next holder's wait after lease expiry."""
 REPORT_TIMEOUT = 0.6
 """Seconds for an engine to report its state."""
 
--- a/buckthornstile/gateway/_usage_reporter.py
+++ b/buckthornstile/gateway/_usage_reporter.py
@@ -10,7 +10,7 @@
 from buckthornstile.platform import DutyClient
 
 REPORT_TIMEOUT = 0.5
-"""Seconds for a report; less than the next holder waits after the lease expired."""
+"""Seconds for a report; shorter than the next holder's wait after lease expiry."""
 REPORT_RETRY_DELAY = 0.3
 """Seconds before a failed report is retried."""
 
