--- a/buckthornstile/entry/_daemon.py
+++ b/buckthornstile/entry/_daemon.py
@@ -333,7 +333,7 @@
             configuration_watcher=self.configuration,
             sender=self.sender,
             stream_proxy=self.stream_proxy,
-            job_store=self.job_store,
+            jobs=self.job_store,
             admission=self.admission,
             revocation=self.revocation,
             deduplicator=CallDeduplicator(self.store, parts=settings.store_parts),
