--- a/buckthornstile/api/__init__.py
+++ b/buckthornstile/api/__init__.py
@@ -1,4 +1,4 @@
-"""The product's own interface, for callers, trainers and operators."""
+"""The HTTP API of an entry for callers, trainers and operators."""
 
 from buckthornstile.api._admission import AdmissionController
 from buckthornstile.api._configuration import ConfigurationWatcher
--- a/buckthornstile/api/_admission.py
+++ b/buckthornstile/api/_admission.py
@@ -1,4 +1,4 @@
-"""Admits calls in fair order while their service has places."""
+"""Admits calls to services in fair order within concurrency limits."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,15 +15,15 @@
 from buckthornstile.configuration import Account
 from buckthornstile.queueing import FairQueue, QueueItem
 
-QUEUE_RETRY = 0.2
-"""Seconds after which a call that was refused for the queue may come again."""
-PUMP_PERIOD = 0.2
-"""Seconds between two looks for places that became free elsewhere."""
+QUEUE_RETRY_AFTER_SECONDS = 0.2
+"""Seconds after which a call that was rejected as queue full may be retried."""
+DISPATCH_INTERVAL = 0.2
+"""Seconds between checks whether the concurrency limit of a service has risen."""
 
 
 @dataclass(slots=True)
 class _Service:
-    """Calls of one service: how many run, and which wait."""
+    """Queue, waiting calls and number of running calls of one service."""
 
     queue: FairQueue = field(default_factory=FairQueue)
     running: int = 0
@@ -31,12 +31,13 @@
 
 
 class AdmissionController:
-    """Bounds what runs at once and shares it among client accounts by weight.
+    """Limits concurrent calls and shares capacity among client accounts by weight.
 
     Args:
-        get_concurrency_limit: Gives the calls of a service that may run here at once.
-        clock: Gives the steady time in seconds.
-        maximum_open: Calls that may be open or queued at once.
+        get_concurrency_limit: A function that returns how many calls of a service may
+            run concurrently in this entry.
+        clock: A function that returns the monotonic time in seconds.
+        maximum_open: Number of calls that may be running or queued at the same time.
     """
 
     def __init__(
@@ -49,11 +50,11 @@
         self.get_concurrency_limit = get_concurrency_limit
         self.clock = clock
         self.maximum_open = maximum_open
-        self.open = 0
+        self.open_calls = 0
         self._open_by_account: dict[AccountId, int] = {}
         self._services: dict[ServiceName, _Service] = {}
 
-    async def enter(
+    async def acquire(
         self,
         service: ServiceName,
         account: Account,
@@ -63,20 +64,20 @@
         cost: float,
         deadline: float,
     ) -> None:
-        """Waits for a place; each call that was let in must leave.
+        """Waits until a call may run; each admitted call must be released.
 
         Args:
-            service: The service that it needs.
+            service: The service of the call.
             account: The client account.
-            request_class: Who waits on it.
-            request: The call's own id.
-            cost: Its expected work, in tokens.
-            deadline: The clock reading after which nobody wants the answer.
+            request_class: The scheduling class of the call.
+            request: The id of the call.
+            cost: The expected work of the call, in tokens.
+            deadline: The clock reading after which the call is rejected.
 
         Raises:
             BuckthornstileError: ``QUEUE_FULL`` or ``DEADLINE_PASSED``.
         """
-        self._count(account)
+        self._add_open_call(account)
         state = self._services.setdefault(service, _Service())
         try:
             if not len(state.queue) and state.running < self.get_concurrency_limit(
@@ -97,25 +98,27 @@
                 ),
             )
         except BaseException:
-            self._uncount(account.name)
+            self._remove_open_call(account.name)
             raise
 
-    def leave(self, service: ServiceName, account: AccountId) -> None:
-        """Gives a place back."""
-        self._uncount(account)
+    def release(self, service: ServiceName, account: AccountId) -> None:
+        """Releases a call that was admitted before and admits the next ones."""
+        self._remove_open_call(account)
         state = self._services[service]
         state.running -= 1
-        self._pump(service, state)
+        self._dispatch(service, state)
 
-    def _count(self, account: Account) -> None:
-        own = self._open_by_account.get(account.name, 0)
-        if self.open >= self.maximum_open or own >= account.maximum_open:
-            raise _make_full(f"{own} calls of account {account.name!r} are open")
-        self.open += 1
-        self._open_by_account[account.name] = own + 1
+    def _add_open_call(self, account: Account) -> None:
+        account_open = self._open_by_account.get(account.name, 0)
+        if self.open_calls >= self.maximum_open or account_open >= account.maximum_open:
+            raise _make_queue_full_error(
+                f"{account_open} calls of account {account.name!r} are open"
+            )
+        self.open_calls += 1
+        self._open_by_account[account.name] = account_open + 1
 
-    def _uncount(self, account: AccountId) -> None:
-        self.open -= 1
+    def _remove_open_call(self, account: AccountId) -> None:
+        self.open_calls -= 1
         self._open_by_account[account] -= 1
         if not self._open_by_account[account]:
             del self._open_by_account[account]
@@ -123,20 +126,26 @@
     async def _wait(
         self, service: ServiceName, state: _Service, item: QueueItem
     ) -> None:
-        pushed = state.queue.push(item, self.clock())
-        if not pushed.accepted:
-            raise _make_full(f"the queue of service {service!r} is full")
-        for shed in pushed.shed:
-            _fail(state, shed, _make_full("other accounts' calls came first"))
+        result = state.queue.push(item, self.clock())
+        if not result.accepted:
+            raise _make_queue_full_error(f"the queue of service {service!r} is full")
+        for shed in result.shed:
+            _reject(
+                state,
+                shed,
+                _make_queue_full_error(
+                    "the call was evicted from the full queue for another account"
+                ),
+            )
         future = asyncio.get_running_loop().create_future()
         state.waiting[item.request_id] = future
         try:
             while not future.done():
-                self._pump(service, state)
-                left = item.deadline - self.clock()
-                if left <= 0 and not future.done():
-                    raise _make_late()
-                await asyncio.wait({future}, timeout=min(PUMP_PERIOD, left))
+                self._dispatch(service, state)
+                remaining = item.deadline - self.clock()
+                if remaining <= 0 and not future.done():
+                    raise _make_deadline_error()
+                await asyncio.wait({future}, timeout=min(DISPATCH_INTERVAL, remaining))
             future.result()
         except asyncio.CancelledError:
             if future.done() and not future.cancelled() and not future.exception():
@@ -146,11 +155,11 @@
             state.waiting.pop(item.request_id, None)
             state.queue.remove(item.request_id)
 
-    def _pump(self, service: ServiceName, state: _Service) -> None:
+    def _dispatch(self, service: ServiceName, state: _Service) -> None:
         while state.running < self.get_concurrency_limit(service):
             item = state.queue.pop(self.clock())
             for expired in state.queue.pop_expired():
-                _fail(state, expired, _make_late())
+                _reject(state, expired, _make_deadline_error())
             if item is None:
                 return
             future = state.waiting.get(item.request_id)
@@ -159,17 +168,19 @@
                 future.set_result(None)
 
 
-def _fail(state: _Service, item: QueueItem, error: BuckthornstileError) -> None:
+def _reject(state: _Service, item: QueueItem, error: BuckthornstileError) -> None:
     future = state.waiting.get(item.request_id)
     if future is not None and not future.done():
         future.set_exception(error)
 
 
-def _make_full(message: str) -> BuckthornstileError:
-    return BuckthornstileError(ErrorCode.QUEUE_FULL, message, retry_after=QUEUE_RETRY)
+def _make_queue_full_error(message: str) -> BuckthornstileError:
+    return BuckthornstileError(
+        ErrorCode.QUEUE_FULL, message, retry_after=QUEUE_RETRY_AFTER_SECONDS
+    )
 
 
-def _make_late() -> BuckthornstileError:
+def _make_deadline_error() -> BuckthornstileError:
     return BuckthornstileError(
-        ErrorCode.DEADLINE_PASSED, "the call's timeout passed in the queue"
+        ErrorCode.DEADLINE_PASSED, "the call timed out in the queue"
     )
--- a/buckthornstile/api/_caller_handlers.py
+++ b/buckthornstile/api/_caller_handlers.py
@@ -1,4 +1,4 @@
-"""Calls of client accounts, whole and streamed."""
+"""Handlers of callers' requests, with complete or streaming responses."""
 
 import asyncio
 import contextlib
@@ -7,12 +7,12 @@
 from collections.abc import AsyncGenerator
 from dataclasses import dataclass
 
-from buckthornstile.api._deduplication import make_call_name
+from buckthornstile.api._deduplication import make_call_digest
 from buckthornstile.api._dependencies import (
     ApiDependencies,
     Authorization,
     authorize,
-    check_fresh,
+    check_configuration_age,
 )
 from buckthornstile.api._generation import (
     GENERATION_PATH,
@@ -21,7 +21,7 @@
     parse_generation,
 )
 from buckthornstile.api._requests import (
-    JSON_TYPE,
+    JSON_CONTENT_TYPE,
     VERDICT_HEADER,
     ApiRequest,
     check_idempotency_key,
@@ -40,41 +40,41 @@
 from buckthornstile.topology import RouteKind
 
 DIGEST_BYTES = 16
-STREAM_TYPE = ("Content-Type", "text/event-stream")
-SHOWN_HEADERS = frozenset({"content-type"})
+EVENT_STREAM_CONTENT_TYPE = ("Content-Type", "text/event-stream")
+RETURNED_HEADERS = frozenset({"content-type"})
 
 
 @dataclass(frozen=True, slots=True)
 class _Call:
     request: ApiRequest
     authorization: Authorization
-    planned: RoutedCall
+    routed_call: RoutedCall
     generation: ParsedGeneration | None
 
     @property
     def cost(self) -> float:
-        """Its expected work, in tokens."""
+        """Expected work of the call, in tokens."""
         return self.generation.body.max_tokens if self.generation else 1.0
 
 
 class CallerHandlers:
-    """Answers callers."""
+    """Handles the requests of callers."""
 
     def __init__(self, dependencies: ApiDependencies) -> None:
         self.dependencies = dependencies
 
     async def handle(self, request: ApiRequest) -> Response | StreamingResponse:
-        """Answers a call on a path of a rule or open route.
+        """Handles a call on a path of a rule or open route.
 
         Raises:
-            BuckthornstileError: There is no answer of an upstream.
+            BuckthornstileError: The call was rejected, or no upstream responded.
         """
         check_idempotency_key(request.idempotency_key)
-        call = self._plan(request)
+        call = self._prepare(request)
         if call.generation is not None and call.generation.body.stream:
             return await self._open_stream(call)
-        is_once = call.authorization.route.kind is RouteKind.AT_MOST_ONCE
-        if is_once and request.idempotency_key:
+        is_at_most_once = call.authorization.route.kind is RouteKind.AT_MOST_ONCE
+        if is_at_most_once and request.idempotency_key:
             return await self.dependencies.deduplicator.run(
                 call.authorization.account.name,
                 request.idempotency_key,
@@ -82,18 +82,18 @@
             )
         return await self._run(call)
 
-    def _plan(self, request: ApiRequest) -> _Call:
+    def _prepare(self, request: ApiRequest) -> _Call:
         loop = asyncio.get_running_loop()
         settings = self.dependencies.settings
-        timeout = request.read_timeout(settings.default_timeout, settings.max_timeout)
+        timeout = request.parse_timeout(settings.default_timeout, settings.max_timeout)
         authorization = authorize(self.dependencies, request)
         headers, generation = request.headers, None
         if request.path == GENERATION_PATH:
-            value = request.read_json()
+            value = request.parse_json()
             service = authorization.route.services[0][0]
             model = find_model(self.dependencies.view, service)
             generation = parse_generation(value, model)
-            headers += encode_generation(generation.generation)
+            headers += encode_generation(generation.hints)
         client_request = ClientRequest(
             id=request.id,
             method=request.method,
@@ -103,17 +103,17 @@
             headers=headers,
             body=request.body,
         )
-        planned = RoutedCall(
+        routed_call = RoutedCall(
             client_request,
             authorization.route,
             authorization.account.name,
             loop.time() + timeout,
-            # The process may have been paused since the call was authorized.
-            before_send=lambda: check_fresh(self.dependencies),
+            # The process may have been suspended since the call was authorized.
+            before_send=lambda: check_configuration_age(self.dependencies),
         )
-        return _Call(request, authorization, planned, generation)
+        return _Call(request, authorization, routed_call, generation)
 
-    # Whole answers
+    # Complete responses
 
     async def _run(self, call: _Call) -> Response:
         return await self.dependencies.revocation.run(
@@ -123,87 +123,100 @@
     async def _run_admitted(self, call: _Call) -> Response:
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        await self._enter(call)
+        await self._acquire(call)
         try:
             if call.generation is None:
-                reply = await self._send(call)
+                response = await self._send(call)
             else:
-                reply = await self._generate(call)
+                response = await self._generate(call)
         finally:
-            self._leave(call)
+            self._release(call)
         seconds = loop.time() - started_at
         self.dependencies.metrics.record_call(call.authorization.account.name, seconds)
         log_event(
             "call.answered",
             request=call.request.id,
             route=call.authorization.route.name,
-            status=reply.status,
+            status=response.status,
             seconds=seconds,
         )
-        return reply
+        return response
 
     async def _send(self, call: _Call) -> Response:
-        answer = await self.dependencies.sender.send(call.planned)
-        headers = _keep_shown(answer.head.headers)
-        return Response(answer.head.status, answer.body, _mark_ran(headers))
+        upstream_response = await self.dependencies.sender.send(call.routed_call)
+        headers = _filter_headers(upstream_response.head.headers)
+        return Response(
+            upstream_response.head.status,
+            upstream_response.body,
+            _add_ran_verdict(headers),
+        )
 
     async def _generate(self, call: _Call) -> Response:
-        """Gathers an engine's events into one JSON answer."""
-        opened = await self.dependencies.stream_proxy.open(call.planned)
+        """Collects the events of an engine into one JSON response."""
+        opened = await self.dependencies.stream_proxy.open(call.routed_call)
         if isinstance(opened, Response):
-            headers = _mark_ran(_keep_shown(opened.headers))
+            headers = _add_ran_verdict(_filter_headers(opened.headers))
             return Response(opened.status, opened.body, headers)
-        reader = UpstreamEventParser(0)
+        parser = UpstreamEventParser(0)
         texts: list[str] = []
         async with contextlib.aclosing(opened.chunks) as chunks:
             async for chunk in chunks:
-                texts += [event.data for event, _ in reader.feed(chunk)]
+                texts += [event.data for event, _ in parser.feed(chunk)]
         body = json.dumps({"text": "\n".join(texts), "events": texts}).encode()
-        return Response(200, body, _mark_ran((JSON_TYPE,)))
+        return Response(200, body, _add_ran_verdict((JSON_CONTENT_TYPE,)))
 
     # Streams
 
     async def _open_stream(self, call: _Call) -> Response | StreamingResponse:
-        name = await self._claim(call)
+        claim = await self._claim(call)
         try:
-            await self._enter(call)
+            await self._acquire(call)
             try:
                 opened = await self.dependencies.revocation.run(
                     call.authorization.key,
-                    self.dependencies.stream_proxy.open(call.planned),
+                    self.dependencies.stream_proxy.open(call.routed_call),
                 )
             except BaseException:
-                self._leave(call)
+                self._release(call)
                 raise
         except BuckthornstileError as error:
-            if name is not None and error.verdict is Verdict.NOT_RUN:
-                await self.dependencies.deduplicator.release(*name)
+            if claim is not None and error.verdict is Verdict.NOT_RUN:
+                await self.dependencies.deduplicator.release(*claim)
             raise
         if isinstance(opened, Response):
-            self._leave(call)
-            headers = _mark_ran(_keep_shown(opened.headers))
+            self._release(call)
+            headers = _add_ran_verdict(_filter_headers(opened.headers))
             return Response(opened.status, opened.body, headers)
-        chunks = self._relay(call, opened)
+        chunks = self._forward_events(call, opened)
         await anext(chunks)
-        return StreamingResponse(200, (STREAM_TYPE,), chunks)
+        return StreamingResponse(200, (EVENT_STREAM_CONTENT_TYPE,), chunks)
 
     async def _claim(self, call: _Call) -> tuple[str, int] | None:
-        """Claims a stream that may run once only and that its caller has named."""
+        """Claims a call that may run at most once and has an idempotency key.
+
+        Returns:
+            The digest of the call and the sequence number of its claim, or None if the
+            call needs no claim.
+        """
         key = call.request.idempotency_key
         if call.authorization.route.kind is not RouteKind.AT_MOST_ONCE or not key:
             return None
-        name = make_call_name(call.authorization.account.name, key)
-        return name, await self.dependencies.deduplicator.claim(name)
+        digest = make_call_digest(call.authorization.account.name, key)
+        return digest, await self.dependencies.deduplicator.claim(digest)
 
-    async def _relay(
+    async def _forward_events(
         self, call: _Call, opened: StreamingResponse
     ) -> AsyncGenerator[bytes, None]:
-        """Passes events on, and ends them with one that proves them whole."""
+        """Forwards the chunks of a stream, then sends an event with length and digest.
+
+        The last event lets the client check that it has received the whole stream.
+        """
         digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
         length = 0
         chunks = opened.chunks
         try:
-            # A generator that has not begun runs no clean-up when it is closed.
+            # A generator that has not started skips its cleanup when it is closed, so
+            # the caller advances it to this yield first.
             yield b""
             while True:
                 chunk = await self.dependencies.revocation.run(
@@ -214,12 +227,12 @@
                 digest.update(chunk)
                 length += len(chunk)
                 yield chunk
-            end = {
+            end_event = {
                 "length": length,
                 "digest": digest.hexdigest(),
                 "verdict": Verdict.RAN.value,
             }
-            yield _encode_event("end", end)
+            yield _encode_event("end", end_event)
         except BuckthornstileError as error:
             log_event(
                 "stream.failed",
@@ -229,19 +242,20 @@
             )
             yield _encode_event("error", {"error": describe_error(error)})
         finally:
-            self._leave(call)
+            self._release(call)
             await chunks.aclose()
 
-    # Places
+    # Admission
 
-    async def _enter(self, call: _Call) -> None:
+    async def _acquire(self, call: _Call) -> None:
         if self.dependencies.is_stopping():
-            # The balancer still sends what it sent before it knew.
+            # The external load balancer may send calls until it sees that this entry
+            # is not ready.
             log_event("call.while_stopping", request=call.request.id)
         deadline = self.dependencies.clock() + (
-            call.planned.deadline - asyncio.get_running_loop().time()
+            call.routed_call.deadline - asyncio.get_running_loop().time()
         )
-        await self.dependencies.admission.enter(
+        await self.dependencies.admission.acquire(
             call.authorization.route.services[0][0],
             call.authorization.account,
             call.authorization.request_class,
@@ -250,25 +264,25 @@
             deadline=deadline,
         )
 
-    def _leave(self, call: _Call) -> None:
+    def _release(self, call: _Call) -> None:
         service = call.authorization.route.services[0][0]
-        self.dependencies.admission.leave(service, call.authorization.account.name)
+        self.dependencies.admission.release(service, call.authorization.account.name)
 
 
 async def _read_next(chunks: AsyncGenerator[bytes, None]) -> bytes | None:
     return await anext(chunks, None)
 
 
-def _keep_shown(headers: Headers) -> Headers:
-    return tuple(one for one in headers if one[0].lower() in SHOWN_HEADERS)
+def _filter_headers(headers: Headers) -> Headers:
+    return tuple(header for header in headers if header[0].lower() in RETURNED_HEADERS)
 
 
-def _mark_ran(headers: Headers) -> Headers:
+def _add_ran_verdict(headers: Headers) -> Headers:
     return (*headers, (VERDICT_HEADER, Verdict.RAN.value))
 
 
 def _encode_event(name: str, data: object) -> bytes:
-    r"""Encodes an event of the system's own.
+    r"""Encodes a server-sent event of the entry itself.
 
     Example:
         >>> _encode_event("end", {"length": 0})
--- a/buckthornstile/api/_configuration.py
+++ b/buckthornstile/api/_configuration.py
@@ -1,4 +1,4 @@
-"""Follows the operators' configuration and the trainers' versions in the store."""
+"""Consumes the operators' configuration and the trainers' versions from the store."""
 
 import asyncio
 import json
@@ -29,24 +29,27 @@
     TopologyView,
 )
 
-TOPIC_WAIT = 0.4
-"""Seconds that a read is held: bounds how old a configuration can be unknown."""
+MAX_POLL_WAIT = 0.4
+"""Seconds of a long poll; bounds how long a stale configuration goes unnoticed."""
 MAX_ATTEMPTS = 3
-"""Upstreams that may run a call that may be repeated, or fail one sample."""
-LONGEST_TIMEOUT = 86_400.0
-"""Seconds; a call's own timeout is what counts."""
+"""Number of upstreams that may run an idempotent call, or fail to make one sample."""
+MAX_TIMEOUT = 86_400.0
+"""Seconds of a route's timeout; the timeout of each call is the effective limit."""
 
 
 class ConfigurationWatcher:
-    """Keeps the configuration of the product's own interface up to date.
+    """Keeps the configuration of the API up to date.
 
     Args:
-        store: The store.
-        view: Takes routes and drains.
-        clock: The time in seconds; it must go on while suspended.
+        store: The store client.
+        view: The topology view that receives routes and drained failure domains.
+        clock: A function that returns the time in seconds; the clock must advance
+            while the machine is suspended.
         key_bound: Seconds within which a withdrawn key must stop working.
-        read_upstream_age: Gives the seconds since the upstreams' entries were read.
-        on_change: Called after another configuration is in force.
+        read_upstream_age: A function that returns the seconds since the records of
+            the upstreams were last read.
+        on_change: Called after a new configuration is in effect or a trainer has a new
+            version.
     """
 
     def __init__(
@@ -72,35 +75,37 @@
             CONFIGURATION_TOPIC,
             0,
             clock=clock,
-            max_wait=TOPIC_WAIT,
+            max_wait=MAX_POLL_WAIT,
             on_record=self._apply,
-            on_snapshot=self._load,
-            on_caught_up=self._settle,
+            on_snapshot=self._load_snapshot,
+            on_caught_up=self._commit,
             ordered=True,
         )
-        self.versions = PartitionConsumer(
+        self.version_consumer = PartitionConsumer(
             store,
             TRAINER_VERSION_TOPIC,
             0,
             clock=clock,
-            max_wait=TOPIC_WAIT,
+            max_wait=MAX_POLL_WAIT,
             on_record=self._apply_version,
-            on_snapshot=self._load_versions,
+            on_snapshot=self._load_version_snapshot,
         )
 
     @property
     def current(self) -> Configuration:
-        """The configuration in force."""
+        """Configuration in effect."""
         return self.state.current
 
     def get_staleness(self) -> float:
-        """Seconds since configuration and upstreams were both known to be true."""
+        """Returns the seconds since configuration and upstreams were up to date."""
         return max(self.consumer.get_staleness(), self.read_upstream_age())
 
     def is_fresh(self) -> bool:
-        """Whether what was withdrawn, drained or removed long ago is known to be.
+        """Whether the configuration and upstreams are recent enough to rely on.
 
-        After a pause of this process it is not, until the store was read again.
+        The staleness must stay below a fraction of ``key_bound``, so that a withdrawal,
+        drain or removal is applied in time. After a pause of this process the result
+        is False until the store has been read again.
         """
         return (
             self.is_loaded
@@ -108,40 +113,40 @@
         )
 
     def is_withdrawn(self, key: KeyId) -> bool:
-        """Whether work under a key must stop: it is withdrawn, or nobody can say."""
+        """Whether work under a key must stop: it is not known to be valid."""
         known = self.current.keys.get(key)
         return not self.is_fresh() or known is None or known.withdrawn
 
     def get_trainer_version(self, trainer: str) -> int:
-        """The newest version that a trainer has named, or 0."""
+        """Returns the newest weight version that a trainer has published, or 0."""
         return self._trainer_versions.get(trainer, 0)
 
     async def publish_version(
         self, trainer: str, model: ModelName | None, version: int
     ) -> None:
-        """Stores the version that a trainer is at.
+        """Appends the current weight version of a trainer to the store.
 
         Args:
-            trainer: The trainer, with its client account.
-            model: The model that it trains, or None if no engine holds one.
+            trainer: The record key of the trainer, with its client account.
+            model: The model that it trains, or None if no rule matches the trainer.
             version: The version of the weights.
 
         Raises:
-            PlatformUnavailableError: The store did not take it, or gave no answer.
+            PlatformUnavailableError: The store rejected the record or did not respond.
         """
         value = json.dumps([model, version]).encode()
         record = encode_keyed_record(trainer, value)
         await self.store.append(TRAINER_VERSION_TOPIC, 0, [record])
 
     async def run(self) -> None:
-        """Follows both topics until cancelled."""
+        """Consumes both topics until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.consumer.run())
-            group.create_task(self.versions.run())
+            group.create_task(self.version_consumer.run())
 
-    def _load(self, records: list[KeyedRecord]) -> None:
+    def _load_snapshot(self, records: list[KeyedRecord]) -> None:
         self.state.reset()
-        for record in sorted(records, key=lambda one: one.offset):
+        for record in sorted(records, key=lambda item: item.offset):
             self._apply(record)
 
     def _apply(self, record: KeyedRecord) -> None:
@@ -150,7 +155,7 @@
         except ValueError as error:
             log_event("configuration.unreadable", key=record.key, reason=error)
 
-    def _settle(self) -> None:
+    def _commit(self) -> None:
         is_first = not self.is_loaded
         self.is_loaded = True
         if not self.state.commit() and not is_first:
@@ -168,7 +173,7 @@
         )
         self.on_change()
 
-    def _load_versions(self, records: list[KeyedRecord]) -> None:
+    def _load_version_snapshot(self, records: list[KeyedRecord]) -> None:
         for record in records:
             self._apply_version(record)
 
@@ -191,7 +196,7 @@
 
 
 def make_route(rule: Rule | OpenRoute) -> Route:
-    """Makes the route of a rule or open route.
+    """Builds the route of a rule or open route.
 
     Example:
         >>> make_route(Rule(name="r", path="/v1/x", service="desk")).kind
@@ -204,8 +209,8 @@
         path_prefix=rule.name,
         kind=kind,
         services=((ServiceName(rule.service), 1.0),),
-        timeout=LONGEST_TIMEOUT,
-        target_latency=LONGEST_TIMEOUT,
+        timeout=MAX_TIMEOUT,
+        target_latency=MAX_TIMEOUT,
         max_attempts=MAX_ATTEMPTS,
         allows_anonymous=isinstance(rule, OpenRoute),
         is_resumable=rule.idempotent,
--- a/buckthornstile/api/_deduplication.py
+++ b/buckthornstile/api/_deduplication.py
@@ -1,10 +1,10 @@
-"""At most one run of a non-idempotent call, whichever entries its attempts reach.
+"""Execution of a non-idempotent call at most once, whichever entries receive it.
 
-Before a call runs, its entry appends a claim under a producer of the call's own name
-with the next sequence number. The store takes one claim for each number and answers a
-later one as a repeat, with the first one's offset; whose record stands there has the
-call. A call that was certainly not run is released by the number that follows, and
-may be claimed again with the one after.
+Before a call runs, its entry appends a claim to the store with the digest of the call
+as the producer id and the next even sequence number. The store keeps one record for
+each sequence number. For a duplicate it returns the offset of the first record, and the
+entry whose record is at that offset owns the call. A call that was certainly not run is
+released by a record with the next, odd sequence number, and may then be claimed again.
 """
 
 import asyncio
@@ -33,41 +33,42 @@
 from buckthornstile.routing import compute_rendezvous_score
 
 GENERATED_KEY_PREFIX = "auto-"
-"""Begins the keys that the library makes for calls without one of their own."""
+"""Prefix of the idempotency keys that the client library generates."""
 CALL_TOPIC = "calls"
-EPOCH = 1
+PRODUCER_EPOCH = 1
 MAX_CLAIMS = 16
-"""Times that one call may be released and claimed again."""
-CLAIM_TRIES = 3
-"""Sends of one append without an answer before the call is refused."""
-KEPT_ANSWERS = 4096
-KEPT_BYTES = 16 << 20
-"""Bytes of answers that are kept for attempts that come again."""
-NAME_BYTES = 16
-TOKEN_BYTES = 8
+"""Number of times that one call may be claimed."""
+MAX_APPEND_ATTEMPTS = 3
+"""Number of failed appends of one record after which the call is rejected."""
+MAX_CACHED_RESPONSES = 4096
+"""Number of runs whose outcome is cached for retries."""
+MAX_CACHED_BYTES = 16 << 20
+"""Total size of the responses that are cached for retries."""
+CALL_DIGEST_BYTES = 16
+CLAIM_TOKEN_BYTES = 8
 
 
 @dataclass(slots=True)
-class _Kept:
-    """An answer that is kept, or the run that will make it."""
+class _CachedRun:
+    """The task that runs a call, cached with its outcome, and the size in bytes."""
 
     task: "asyncio.Task[Response]"
     size: int = 0
 
 
 class CallDeduplicator:
-    """Runs each named call at most once.
+    """Runs each call with an idempotency key at most once.
 
     Args:
-        store: The store.
-        parts: Partitions of a topic.
+        store: The store client.
+        parts: Number of partitions of a topic.
     """
 
     def __init__(self, store: StoreClient, *, parts: int) -> None:
         self.store = store
         self.parts = parts
-        self._kept: OrderedDict[str, _Kept] = OrderedDict()
-        self._kept_bytes = 0
+        self._cache: OrderedDict[str, _CachedRun] = OrderedDict()
+        self._cached_bytes = 0
 
     async def run(
         self,
@@ -75,139 +76,156 @@
         key: IdempotencyKey,
         work: Callable[[], Awaitable[Response]],
     ) -> Response:
-        """Runs a call, or gives the answer of the run that it had here.
+        """Runs a call, or returns the response of its earlier run in this entry.
 
         Args:
             account: The client account.
-            key: The caller's name for the call. One that the library made for a
-                single call is claimed in no store: no other process knows it.
-            work: Runs it. An error with the verdict NOT_RUN releases the call.
+            key: The idempotency key of the call. A key that the client library
+                generated is not claimed in the store, as no other process uses it.
+            work: Runs the call. An error with the verdict ``NOT_RUN`` releases the
+                call.
 
         Raises:
-            BuckthornstileError: What the run raised; ``DUPLICATE_IN_FLIGHT``, if
-                another attempt has run it or may have; ``PLATFORM_UNAVAILABLE`` if
-                the store cannot say.
+            BuckthornstileError: The error of the run; ``DUPLICATE_IN_FLIGHT`` if
+                another attempt has run the call or may have run it;
+                ``PLATFORM_UNAVAILABLE`` if the store is unavailable.
         """
-        name = make_call_name(account, key)
-        kept = self._kept.get(name)
-        if kept is None:
+        digest = make_call_digest(account, key)
+        cached = self._cache.get(digest)
+        if cached is None:
             is_generated = key.startswith(GENERATED_KEY_PREFIX)
-            running = work() if is_generated else self._run_first(name, work)
+            running = work() if is_generated else self._run_claimed(digest, work)
             task = asyncio.ensure_future(running)
-            kept = self._kept[name] = _Kept(task)
-            task.add_done_callback(lambda done: self._note_end(name, done))
-        # The caller of one attempt may leave while another waits for the same run.
-        return await asyncio.shield(kept.task)
+            cached = self._cache[digest] = _CachedRun(task)
+            task.add_done_callback(lambda done: self._on_run_finished(digest, done))
+        # One caller may disconnect while another attempt waits for the same run.
+        return await asyncio.shield(cached.task)
 
-    async def _run_first(
-        self, name: str, work: Callable[[], Awaitable[Response]]
+    async def _run_claimed(
+        self, digest: str, work: Callable[[], Awaitable[Response]]
     ) -> Response:
-        sequence = await self.claim(name)
+        sequence = await self.claim(digest)
         try:
             return await work()
         except BuckthornstileError as error:
             if error.verdict is Verdict.NOT_RUN:
-                await self.release(name, sequence)
+                await self.release(digest, sequence)
             raise
 
-    def _note_end(self, name: str, task: "asyncio.Task[Response]") -> None:
-        kept = self._kept.get(name)
-        if kept is None:
+    def _on_run_finished(self, digest: str, task: "asyncio.Task[Response]") -> None:
+        cached = self._cache.get(digest)
+        if cached is None:
             return
         error = None if task.cancelled() else task.exception()
-        is_open = isinstance(error, BuckthornstileError) and (
+        was_not_run = isinstance(error, BuckthornstileError) and (
             error.verdict is Verdict.NOT_RUN
         )
-        if task.cancelled() or is_open:
-            del self._kept[name]
+        if task.cancelled() or was_not_run:
+            del self._cache[digest]
             return
-        kept.size = len(task.result().body) if error is None else 0
-        self._kept_bytes += kept.size
-        while len(self._kept) > KEPT_ANSWERS or self._kept_bytes > KEPT_BYTES:
-            oldest = next((one for one in self._kept.values() if one.task.done()), None)
+        cached.size = len(task.result().body) if error is None else 0
+        self._cached_bytes += cached.size
+        while (
+            len(self._cache) > MAX_CACHED_RESPONSES
+            or self._cached_bytes > MAX_CACHED_BYTES
+        ):
+            oldest = next(
+                (run for run in self._cache.values() if run.task.done()), None
+            )
             if oldest is None:
                 return
-            names = [name for name, one in self._kept.items() if one is oldest]
-            self._kept_bytes -= oldest.size
-            del self._kept[names[0]]
+            digests = [digest for digest, run in self._cache.items() if run is oldest]
+            self._cached_bytes -= oldest.size
+            del self._cache[digests[0]]
 
     # Claims
 
-    async def claim(self, name: str) -> int:
-        """Claims a call, and gives the claim's sequence number.
+    async def claim(self, digest: str) -> int:
+        """Claims a call and returns the sequence number of the claim.
 
         Raises:
-            BuckthornstileError: Another attempt has it, or the store cannot say.
+            BuckthornstileError: Another attempt owns the call, or the store is
+                unavailable.
         """
-        token = secrets.token_bytes(TOKEN_BYTES)
+        token = secrets.token_bytes(CLAIM_TOKEN_BYTES)
         sequence = 0
         while sequence < 2 * MAX_CLAIMS:
             try:
-                offset = await self._append(name, sequence, token)
+                offset = await self._append(digest, sequence, token)
             except AppendConflictError as error:
-                # An even number is free; before an odd one an earlier claim stands.
+                # An even number is free; an odd one follows an unreleased claim.
                 if error.expected % 2 or error.expected <= sequence:
                     break
                 sequence = error.expected
                 continue
-            if await self._read(name, offset) == token:
+            if await self._read(digest, offset) == token:
                 return sequence
             sequence += 2
-        log_event("call.claimed_elsewhere", call=name)
+        log_event("call.claimed_elsewhere", call=digest)
         raise BuckthornstileError(
             ErrorCode.DUPLICATE_IN_FLIGHT,
-            "another attempt of this call has run it, or may have",
+            "another attempt of this call has run it or may have run it",
             verdict=Verdict.MAY_HAVE_RUN,
         )
 
-    async def release(self, name: str, sequence: int) -> None:
-        """Lets a call that was certainly not run be claimed again."""
+    async def release(self, digest: str, sequence: int) -> None:
+        """Releases a call that was certainly not run, so that it may be claimed again.
+
+        Args:
+            digest: The digest of the call.
+            sequence: The sequence number of its claim.
+        """
         try:
-            await self._append(name, sequence + 1, b"released")
+            await self._append(digest, sequence + 1, b"released")
         except BuckthornstileError as error:
-            log_event("call.release_failed", call=name, reason=error.message)
+            log_event("call.release_failed", call=digest, reason=error.message)
 
-    async def _append(self, name: str, sequence: int, record: bytes) -> int:
-        """Appends a record, again if there is no answer: a repeat changes nothing."""
-        producer = Producer(name, EPOCH, sequence)
-        for left in reversed(range(CLAIM_TRIES)):
+    async def _append(self, digest: str, sequence: int, record: bytes) -> int:
+        """Appends a record and retries failures, as the append is idempotent."""
+        producer = Producer(digest, PRODUCER_EPOCH, sequence)
+        for attempts_left in reversed(range(MAX_APPEND_ATTEMPTS)):
             try:
                 return await self.store.append(
-                    CALL_TOPIC, self._find_part(name), [record], producer=producer
+                    CALL_TOPIC,
+                    self._find_partition(digest),
+                    [record],
+                    producer=producer,
                 )
             except PlatformUnavailableError as error:
-                if not left:
-                    raise self._make_unavailable() from error
-        raise self._make_unavailable()
+                if not attempts_left:
+                    raise self._make_unavailable_error() from error
+        raise self._make_unavailable_error()
 
-    async def _read(self, name: str, offset: int) -> bytes | None:
-        """Reads the record at an offset; None if it is not kept any more."""
+    async def _read(self, digest: str, offset: int) -> bytes | None:
+        """Returns the record at an offset, or None if the store no longer has it."""
         try:
-            data = await self.store.read(CALL_TOPIC, self._find_part(name), offset)
+            fetched = await self.store.read(
+                CALL_TOPIC, self._find_partition(digest), offset
+            )
         except OffsetOutOfRangeError:
             return None
         except PlatformUnavailableError as error:
-            raise self._make_unavailable() from error
-        found = dict(data.records)
-        return found.get(offset)
+            raise self._make_unavailable_error() from error
+        records = dict(fetched.records)
+        return records.get(offset)
 
-    def _find_part(self, name: str) -> int:
-        return compute_rendezvous_score("call", name) % self.parts
+    def _find_partition(self, digest: str) -> int:
+        return compute_rendezvous_score("call", digest) % self.parts
 
-    def _make_unavailable(self) -> BuckthornstileError:
+    def _make_unavailable_error(self) -> BuckthornstileError:
         return BuckthornstileError(
             ErrorCode.PLATFORM_UNAVAILABLE,
-            "the store cannot say whether this call has run before",
+            "the store is unavailable, so this call may have run before",
             verdict=Verdict.MAY_HAVE_RUN,
         )
 
 
-def make_call_name(account: AccountId, key: IdempotencyKey) -> str:
-    """Makes the name under which a call is claimed.
+def make_call_digest(account: AccountId, key: IdempotencyKey) -> str:
+    """Returns the digest that identifies a call in the store.
 
     Example:
-        >>> make_call_name("mill-7", "k") == make_call_name("mill-8", "k")
+        >>> make_call_digest("mill-7", "k") == make_call_digest("mill-8", "k")
         False
     """
     text = f"{account}\x00{key}".encode()
-    return hashlib.blake2b(text, digest_size=NAME_BYTES).hexdigest()
+    return hashlib.blake2b(text, digest_size=CALL_DIGEST_BYTES).hexdigest()
--- a/buckthornstile/api/_dependencies.py
+++ b/buckthornstile/api/_dependencies.py
@@ -1,4 +1,4 @@
-"""What the handlers of the product's own interface share."""
+"""Shared dependencies, authentication and authorization of the API handlers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 from buckthornstile.api._configuration import ConfigurationWatcher, make_route
 from buckthornstile.api._deduplication import CallDeduplicator
 from buckthornstile.api._requests import ApiRequest
-from buckthornstile.api._revocation import RevocationMonitor, make_withdrawn
+from buckthornstile.api._revocation import RevocationMonitor, make_revocation_error
 from buckthornstile.base import (
     BuckthornstileError,
     ErrorCode,
@@ -22,12 +22,12 @@
 from buckthornstile.topology import Route, TopologyView
 
 RETRY_AFTER_SECONDS = 0.2
-"""Seconds after which a request that was not run may come again."""
+"""Seconds after which a request that was not run may be retried."""
 
 
 @dataclass(frozen=True, slots=True)
 class ApiDependencies:
-    """What the handlers use."""
+    """Objects and functions that the API handlers share."""
 
     settings: EntrySettings
     view: TopologyView
@@ -47,14 +47,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Authorization:
-    """What a request may do, and in whose name.
+    """Account, key and route under which a request is allowed to run.
 
     Args:
         account: The client account.
-        key: The key that came with it; empty on an open route.
-        route: How it is served.
-        request_class: Who waits on it.
-        maximum_age: Weight versions that a sample may be behind its trainer.
+        key: The id of the API key of the request; empty on an open route.
+        route: The route that serves the request.
+        request_class: The scheduling class of the request.
+        maximum_age: Number of weight versions that a sample may be behind its
+            trainer.
     """
 
     account: Account
@@ -70,28 +71,30 @@
     trainer: str = ANY_TRAINER,
     path: str = "",
 ) -> Authorization:
-    """Finds what a request may do.
+    """Returns the account, key and route under which a request may run.
 
     Args:
-        dependencies: What the handlers share.
+        dependencies: The shared dependencies of the handlers.
         request: The request.
-        trainer: The trainer that it comes from, if any.
-        path: The path at the upstream, whose rule holds if the request's has none.
+        trainer: The trainer that sent the request, or the wildcard ``ANY_TRAINER``.
+        path: The path at the upstream; its rule applies if no rule matches the path
+            of the request.
 
     Raises:
-        BuckthornstileError: It may not run, or nobody can say.
+        BuckthornstileError: The request is not allowed, or the configuration is
+            missing or too old to decide.
     """
-    watch = dependencies.configuration_watcher
-    if not watch.is_loaded:
+    watcher = dependencies.configuration_watcher
+    if not watcher.is_loaded:
         raise BuckthornstileError(
             ErrorCode.CONFIGURATION_MISSING,
-            "no configuration is known yet",
+            "no configuration has been loaded yet",
             retry_after=RETRY_AFTER_SECONDS,
         )
-    configuration = watch.current
+    configuration = watcher.current
     open_route = configuration.find_open_route(request.path)
     if open_route is not None and trainer == ANY_TRAINER:
-        check_fresh(dependencies)
+        check_configuration_age(dependencies)
         return Authorization(
             configuration.accounts[open_route.account],
             KeyId(""),
@@ -118,30 +121,33 @@
 
 
 def authenticate(dependencies: ApiDependencies, request: ApiRequest) -> ApiKey:
-    """Finds the key that came with a request.
+    """Returns the API key of a request.
 
     Raises:
-        BuckthornstileError: There is none, or it does not work.
+        BuckthornstileError: The request has no key, the key is unknown or withdrawn,
+            or the configuration is too old to decide.
     """
     if not request.key:
-        raise BuckthornstileError(ErrorCode.KEY_MISSING, "the request has no key")
+        raise BuckthornstileError(ErrorCode.KEY_MISSING, "the request has no API key")
     key = dependencies.configuration_watcher.current.find_api_key(
         hash_api_key(request.key)
     )
     if key is None or key.withdrawn:
-        # A process that knows too little must not say that a key is unknown.
-        check_fresh(dependencies)
+        # With an outdated configuration, this process must not report a key as
+        # unknown: it may be a new one.
+        check_configuration_age(dependencies)
         code = ErrorCode.KEY_UNKNOWN if key is None else ErrorCode.KEY_WITHDRAWN
-        raise BuckthornstileError(code, "the key does not work")
-    check_fresh(dependencies)
+        raise BuckthornstileError(code, "the API key is unknown or withdrawn")
+    check_configuration_age(dependencies)
     return key
 
 
-def check_fresh(dependencies: ApiDependencies) -> None:
-    """Checks that what is known of keys and upstreams is new enough.
+def check_configuration_age(dependencies: ApiDependencies) -> None:
+    """Checks that the known keys and upstreams are recent enough.
 
     Raises:
-        BuckthornstileError: ``CONFIGURATION_OLD``.
+        BuckthornstileError: ``CONFIGURATION_OLD``, if the entry is set to fail closed
+            and its data is too old.
     """
     if (
         dependencies.settings.fails_closed
@@ -150,20 +156,23 @@
         age = dependencies.configuration_watcher.get_staleness()
         raise BuckthornstileError(
             ErrorCode.CONFIGURATION_OLD,
-            f"the configuration is {age:.1f} s old, too old to act on",
+            f"the configuration is {age:.1f} s old, which is too old to use",
             retry_after=RETRY_AFTER_SECONDS,
         )
 
 
 def find_key_error(
-    watch: ConfigurationWatcher, key: KeyId
+    watcher: ConfigurationWatcher, key: KeyId
 ) -> BuckthornstileError | None:
-    """Finds why running work under a key must end, or None if it may go on."""
-    known = watch.current.keys.get(key)
+    """Returns the error to stop running work under a key with, or None if valid."""
+    known = watcher.current.keys.get(key)
     if known is None or known.withdrawn:
-        return make_withdrawn(ErrorCode.KEY_WITHDRAWN, "the key was withdrawn")
-    if not watch.is_fresh():
-        return make_withdrawn(
-            ErrorCode.CONFIGURATION_OLD, "nobody can say whether the key still works"
+        return make_revocation_error(
+            ErrorCode.KEY_WITHDRAWN, "the API key was withdrawn"
+        )
+    if not watcher.is_fresh():
+        return make_revocation_error(
+            ErrorCode.CONFIGURATION_OLD,
+            "the configuration is too old to tell whether the API key is still valid",
         )
     return None
--- a/buckthornstile/api/_generation.py
+++ b/buckthornstile/api/_generation.py
@@ -1,4 +1,4 @@
-"""Requests to model engines, as callers and trainers write them."""
+"""Parsing of generation requests and building of generation hints for engines."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -12,19 +12,19 @@
 
 GENERATION_PATH = "/v1/completions"
 CHARACTERS_PER_TOKEN = 4
-"""Characters of a prompt that are taken for one token."""
+"""Number of prompt characters that are estimated as one token."""
 DEFAULT_MAX_TOKENS = 256
 MAX_TOKENS = 1 << 17
 MAX_PROMPT_CHARACTERS = 1 << 20
 
 
 class GenerationBody(BaseModel):
-    """The body of a call to a model engine; other fields go on as they are.
+    """The body of a call to a model engine; other fields are forwarded unchanged.
 
     Args:
         prompt: The prompt.
-        max_tokens: The most tokens of the answer.
-        stream: Whether the answer comes as server-sent events.
+        max_tokens: Maximum number of tokens to generate.
+        stream: Whether the response is a stream of server-sent events.
 
     Example:
         >>> GenerationBody(prompt="set a tooth").max_tokens
@@ -39,40 +39,43 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedGeneration:
-    """A parsed body, and what an engine must be told beside it."""
+    """A parsed body and the generation hints that are sent to an engine with it."""
 
     body: GenerationBody
-    generation: GenerationHints
+    hints: GenerationHints
 
 
 def parse_generation(value: object, model: ModelName) -> ParsedGeneration:
-    """Checks the body of a call to a model engine.
+    """Validates the body of a call to a model engine.
 
     Args:
         value: The decoded JSON value.
-        model: The model that is to run it.
+        model: The model that runs the call.
 
     Raises:
-        BuckthornstileError: ``BODY_MALFORMED``, naming the first wrong field.
+        BuckthornstileError: ``BODY_MALFORMED``; the message names the first invalid
+            field.
     """
     try:
         body = GenerationBody.model_validate(value)
     except ValidationError as error:
         first = error.errors(include_input=False, include_url=False)[0]
-        place = ".".join(str(part) for part in first["loc"]) or "body"
+        field_path = ".".join(str(part) for part in first["loc"]) or "body"
         raise BuckthornstileError(
-            ErrorCode.BODY_MALFORMED, f"{place}: {first['msg']}"
+            ErrorCode.BODY_MALFORMED, f"{field_path}: {first['msg']}"
         ) from error
-    return ParsedGeneration(body, make_generation(model, body.prompt, body.max_tokens))
+    return ParsedGeneration(
+        body, make_generation_hints(model, body.prompt, body.max_tokens)
+    )
 
 
-def make_generation(
+def make_generation_hints(
     model: ModelName, prompt: str, max_tokens: int, expected_tokens: int = 0
 ) -> GenerationHints:
-    """Makes what an engine is told of a prompt.
+    """Builds the generation hints of a prompt.
 
     Example:
-        >>> make_generation("llm", "set a saw", 8).prompt_tokens
+        >>> make_generation_hints("llm", "set a saw", 8).prompt_tokens
         3
     """
     tokens = len(prompt) // CHARACTERS_PER_TOKEN + 1
@@ -88,18 +91,20 @@
 def find_model(
     view: TopologyView, service: ServiceName, trainer: str = ""
 ) -> ModelName:
-    """Finds the model that a request of a service is for.
+    """Returns the model that a request to a service is for.
 
-    It is the one named like the trainer, or the only one that the service holds.
+    This is the model with the name of the trainer, or else the only model of the
+    service.
 
     Args:
-        view: The topology in force.
+        view: The topology view.
         service: The service.
-        trainer: The trainer, or empty.
+        trainer: The name of the trainer, or empty.
 
     Raises:
         BuckthornstileError: ``NO_UPSTREAM``: no engine of the service is known;
-            ``BODY_MALFORMED``: it holds several models, none named like the trainer.
+            ``BODY_MALFORMED``: the service has several models, and none has the name
+            of the trainer.
     """
     models = view.get_models_by_service().get(service, ())
     if trainer in models:
@@ -112,5 +117,5 @@
         )
     raise BuckthornstileError(
         ErrorCode.BODY_MALFORMED,
-        f"service {service!r} holds {len(models)} models, none named {trainer!r}",
+        f"service {service!r} has {len(models)} models, none of them named {trainer!r}",
     )
--- a/buckthornstile/api/_handlers.py
+++ b/buckthornstile/api/_handlers.py
@@ -1,4 +1,4 @@
-"""Answers what comes through the door of the product's own interface."""
+"""Dispatch of API requests to the handlers of callers, trainers and operators."""
 
 from buckthornstile.api._caller_handlers import CallerHandlers
 from buckthornstile.api._dependencies import ApiDependencies
@@ -11,7 +11,7 @@
 
 
 class ApiHandlers:
-    """Finds who answers a request: callers', trainers' or operators' handlers."""
+    """Dispatches each request to the handlers of callers, trainers or operators."""
 
     def __init__(
         self, dependencies: ApiDependencies, operators: OperatorHandlers
@@ -22,10 +22,10 @@
         self.operators = operators
 
     async def handle(self, request: ApiRequest) -> Response | StreamingResponse:
-        """Answers one request; failures become a coded error with a verdict."""
-        show = self.operators.find(request.path)
-        if show is not None:
-            return show(request)
+        """Handles one request; a failure becomes a response with code and verdict."""
+        operator_handler = self.operators.find_handler(request.path)
+        if operator_handler is not None:
+            return operator_handler(request)
         try:
             if request.path == LOT_PATH or request.path.startswith(
                 (f"{LOT_PATH}/", TRAINER_PATH)
--- a/buckthornstile/api/_lot_attachment.py
+++ b/buckthornstile/api/_lot_attachment.py
@@ -1,15 +1,15 @@
-"""The jobs behind one attach of a trainer to a lot."""
+"""Attachments of trainers to lots, and the jobs that generate their samples."""
 
 import asyncio
 from dataclasses import dataclass, field
 
 from buckthornstile.api._dependencies import ApiDependencies, Authorization
 from buckthornstile.api._lot_jobs import (
-    has_given_up,
+    is_finished_without,
     make_job,
     make_job_id,
-    make_lot_name,
-    make_trainer_name,
+    make_lot_digest,
+    make_trainer_key,
 )
 from buckthornstile.base import (
     BuckthornstileError,
@@ -23,17 +23,30 @@
 from buckthornstile.samples import LotSpecification, Slot
 from buckthornstile.topology import ModelName
 
-POLL_PERIOD = 0.1
-"""Seconds between two looks at what ends or changes a lot."""
-JOB_WAIT = 3.0
-"""Seconds for an accepted job to be read back from the store."""
-MAX_TRIES = 8
-"""Jobs of a lot for one oldest version: each further one makes what was given up."""
+POLL_INTERVAL = 0.1
+"""Seconds between checks for new results or a reason to stop a lot."""
+JOB_READ_TIMEOUT = 3.0
+"""Seconds to wait until a partition or an accepted job is read from the store."""
+MAX_JOBS_PER_VERSION = 8
+"""Number of jobs of a lot for one minimum version.
+
+Each job after the first generates the samples that its predecessor gave up.
+"""
 
 
 @dataclass(slots=True)
 class LotAttachment:
-    """One attach of a trainer to a lot."""
+    """One attachment of a trainer to a lot.
+
+    Args:
+        authorization: Account, key and route of the trainer.
+        specification: The specification of the lot.
+        lot: The id of the lot.
+        number: The number of the attach; the trainer increases it with each attach.
+        model: The model that generates the samples.
+        deadline: The clock reading at which the lot times out.
+        missing: The slots that the trainer has not received yet.
+    """
 
     authorization: Authorization
     specification: LotSpecification
@@ -43,117 +56,129 @@
     deadline: float
     missing: set[Slot] = field(default_factory=set)
 
-    def get_minimum(self, trainer_version: int) -> int:
-        """The oldest version that a sample may have."""
+    def get_minimum_version(self, trainer_version: int) -> int:
+        """Returns the oldest weight version that a sample may have.
+
+        Args:
+            trainer_version: The newest weight version that the trainer has published.
+        """
         version = max(self.specification.version, trainer_version)
         return int(self.specification.get_minimum_version(WeightVersion(version)))
 
 
 class LotJobs:
-    """Finds, makes and ends the jobs of lots.
+    """Finds, creates and ends the jobs of lots.
 
     Args:
-        dependencies: What the handlers share.
+        dependencies: The shared dependencies of the handlers.
     """
 
     def __init__(self, dependencies: ApiDependencies) -> None:
         self.dependencies = dependencies
 
-    async def follow(self, attach: LotAttachment) -> None:
-        """Has the account's partition followed here, and waits until it is read.
+    async def load_partition(self, attachment: LotAttachment) -> None:
+        """Requests the partition of the account and waits until it has been read.
 
         Raises:
-            BuckthornstileError: ``PLATFORM_UNAVAILABLE``: the store did not answer.
+            BuckthornstileError: ``PLATFORM_UNAVAILABLE``: the partition was not read in
+                time.
         """
         jobs = self.dependencies.jobs
-        part = jobs.find_partition(attach.authorization.account.name)
-        end = self.dependencies.clock() + JOB_WAIT
-        jobs.request_partition(part)
-        while not jobs.is_consumed(part):
-            if self.dependencies.clock() > end:
+        partition = jobs.find_partition(attachment.authorization.account.name)
+        deadline = self.dependencies.clock() + JOB_READ_TIMEOUT
+        jobs.request_partition(partition)
+        while not jobs.is_consumed(partition):
+            if self.dependencies.clock() > deadline:
                 raise BuckthornstileError(
                     ErrorCode.PLATFORM_UNAVAILABLE,
-                    "the account's lots could not be read from the store",
-                    retry_after=POLL_PERIOD,
+                    "the lots of the account could not be read from the store in time",
+                    retry_after=POLL_INTERVAL,
                 )
-            await asyncio.sleep(POLL_PERIOD / 5)
+            await asyncio.sleep(POLL_INTERVAL / 5)
 
-    async def open_job(self, attach: LotAttachment) -> Job:
-        """Finds or makes the job of the samples that a lot lacks.
+    async def open_job(self, attachment: LotAttachment) -> Job:
+        """Finds or creates the job that generates the missing samples of a lot.
 
         Raises:
-            BuckthornstileError: It is not known to be stored.
+            BuckthornstileError: The job may not be stored, or too many jobs of the lot
+                have given up samples.
         """
-        account = attach.authorization.account.name
-        minimum = self.find_minimum(attach)
-        job_id, job = self._find_open_job(attach, minimum)
+        account = attachment.authorization.account.name
+        minimum_version = self.find_minimum_version(attachment)
+        job_id, job = self._find_open_job(attachment, minimum_version)
         if job is None:
             specification = make_job(
-                attach.specification,
+                attachment.specification,
                 job_id,
-                lot=attach.lot,
+                lot=attachment.lot,
                 account=account,
-                key=attach.authorization.key,
-                route=attach.authorization.route.path_prefix,
-                model=attach.model,
-                minimum=minimum,
+                key=attachment.authorization.key,
+                route=attachment.authorization.route.path_prefix,
+                model=attachment.model,
+                minimum_version=minimum_version,
                 submitted_at=self.dependencies.wall_clock(),
             )
             owner = self.dependencies.choose_first_owner(specification)
             await self.dependencies.jobs.accept(specification, owner)
-            log_event("job.accepted", job=job_id, lot=attach.lot, owner=owner)
+            log_event("job.accepted", job=job_id, lot=attachment.lot, owner=owner)
             job = await self._wait_for_job(job_id)
-        await self._end_older(attach.lot, minimum)
+        await self._end_older_jobs(attachment.lot, minimum_version)
         return job
 
     def _find_open_job(
-        self, attach: LotAttachment, minimum: int
+        self, attachment: LotAttachment, minimum_version: int
     ) -> tuple[JobId, Job | None]:
-        """Finds the newest job of a lot that may still make what is missing.
+        """Finds the first job of a lot that can still generate the missing samples.
+
+        Returns:
+            The id of the job, and the job or None if it does not exist yet.
 
         Raises:
-            BuckthornstileError: Too many jobs have given samples up.
+            BuckthornstileError: Too many jobs have given up samples.
         """
-        for number in range(MAX_TRIES):
-            job_id = make_job_id(attach.lot, minimum, number)
+        for number in range(MAX_JOBS_PER_VERSION):
+            job_id = make_job_id(attachment.lot, minimum_version, number)
             job = self.dependencies.jobs.table.find(job_id)
-            if job is None or not has_given_up(job, attach.missing):
+            if job is None or not is_finished_without(job, attachment.missing):
                 return job_id, job
         raise BuckthornstileError(
             ErrorCode.UPSTREAM_FAILED,
-            f"samples of the lot were given up {MAX_TRIES} times",
+            f"{MAX_JOBS_PER_VERSION} jobs of the lot have given up samples",
             verdict=Verdict.MAY_HAVE_RUN,
         )
 
     async def _wait_for_job(self, job_id: JobId) -> Job:
-        end = self.dependencies.clock() + JOB_WAIT
-        while self.dependencies.clock() < end:
+        deadline = self.dependencies.clock() + JOB_READ_TIMEOUT
+        while self.dependencies.clock() < deadline:
             job = self.dependencies.jobs.table.find(job_id)
             if job is not None:
                 return job
-            await asyncio.sleep(POLL_PERIOD / 5)
+            await asyncio.sleep(POLL_INTERVAL / 5)
         raise BuckthornstileError(
             ErrorCode.PLATFORM_UNAVAILABLE,
-            f"job {job_id!r} is stored, but could not be read back",
+            f"job {job_id!r} was stored, but could not be read back in time",
             verdict=Verdict.MAY_HAVE_RUN,
         )
 
-    async def _end_older(self, lot: LotId, minimum: int) -> None:
+    async def _end_older_jobs(self, lot: LotId, minimum_version: int) -> None:
         for job in self.find_jobs(lot):
-            if job.specification.minimum_version < minimum and not job.is_finished():
+            if (
+                job.specification.minimum_version < minimum_version
+                and not job.is_finished()
+            ):
                 await self.dependencies.jobs.end(job)
 
     def find_jobs(self, lot: LotId) -> list[Job]:
-        """Finds the jobs of a lot that are known here."""
-        prefix = make_lot_name(lot) + "."
+        """Returns the jobs of a lot that are known to this entry."""
+        prefix = make_lot_digest(lot) + "."
         jobs = self.dependencies.jobs.table.jobs
         return [job for name, job in jobs.items() if name.startswith(prefix)]
 
-    def find_minimum(self, attach: LotAttachment) -> int:
-        """The oldest version that a sample may have now."""
-        name = make_trainer_name(
-            attach.authorization.account.name, attach.specification.trainer
+    def find_minimum_version(self, attachment: LotAttachment) -> int:
+        """Returns the oldest weight version that a sample may have now."""
+        trainer_key = make_trainer_key(
+            attachment.authorization.account.name, attachment.specification.trainer
         )
-        return attach.get_minimum(
-            self.dependencies.configuration_watcher.get_trainer_version(name)
+        return attachment.get_minimum_version(
+            self.dependencies.configuration_watcher.get_trainer_version(trainer_key)
         )
--- a/buckthornstile/api/_lot_handlers.py
+++ b/buckthornstile/api/_lot_handlers.py
@@ -1,8 +1,9 @@
-"""Trainers' lots, run as batch jobs.
+"""Handlers of trainers' requests, which run lots as batch jobs.
 
-A lot is a job for each oldest version that its samples may have: a trainer that
-advances has the samples that became too old made again by the next job, which takes
-over what still fits. Results stand in the store, so any entry serves any attach.
+A lot has one job for each minimum weight version of its samples. When the trainer
+advances, a new job reuses the samples that are still recent enough and generates the
+others again. The results are in the store, so a trainer may attach to its lot at any
+entry.
 """
 
 import asyncio
@@ -13,13 +14,17 @@
     GENERATION_PATH,
     find_model,
 )
-from buckthornstile.api._lot_attachment import POLL_PERIOD, LotAttachment, LotJobs
+from buckthornstile.api._lot_attachment import POLL_INTERVAL, LotAttachment, LotJobs
 from buckthornstile.api._lot_jobs import (
     make_sample,
-    make_trainer_name,
+    make_trainer_key,
 )
-from buckthornstile.api._lot_requests import is_count, parse_slots, read_object
-from buckthornstile.api._requests import ApiRequest, make_json_reply
+from buckthornstile.api._lot_requests import (
+    is_non_negative_int,
+    parse_json_object,
+    parse_slots,
+)
+from buckthornstile.api._requests import ApiRequest, make_json_response
 from buckthornstile.base import (
     BuckthornstileError,
     ErrorCode,
@@ -43,26 +48,26 @@
 
 LOT_PATH = "/v1/lots"
 TRAINER_PATH = "/v1/trainers/"
-HEARTBEAT_PERIOD = 1.0
-"""Seconds between two lines of a lot that makes no sample."""
-MAX_ATTACH = 1 << 40
-LINE_TYPE = ("Content-Type", "application/x-ndjson")
+HEARTBEAT_INTERVAL = 1.0
+"""Seconds without a sample after which a heartbeat line is sent."""
+MAX_ATTACH_NUMBER = 1 << 40
+NDJSON_CONTENT_TYPE = ("Content-Type", "application/x-ndjson")
 
 
 class LotHandlers:
-    """Answers trainers."""
+    """Handles the requests of trainers."""
 
     def __init__(self, dependencies: ApiDependencies) -> None:
         self.dependencies = dependencies
         self.lot_jobs = LotJobs(dependencies)
-        self._newest: dict[LotId, int] = {}
-        self.open = 0
+        self._newest_attach: dict[LotId, int] = {}
+        self.open_lots = 0
 
     async def handle(self, request: ApiRequest) -> Response | StreamingResponse:
-        """Answers a request below the trainers' paths.
+        """Handles a request on a path for trainers.
 
         Raises:
-            BuckthornstileError: It is refused.
+            BuckthornstileError: The request is rejected.
         """
         if request.method != "POST":
             raise BuckthornstileError(
@@ -70,23 +75,31 @@
             )
         if request.path == LOT_PATH:
             return await self._attach(request)
-        words = request.path.split("/")[2:]
-        if len(words) == 3 and words[0] == "lots" and words[2] == "acknowledge":
-            return await self._acknowledge(request, words[1])
-        if len(words) == 3 and words[0] == "trainers" and words[2] == "version":
-            return await self._set_version(request, words[1])
+        segments = request.path.split("/")[2:]
+        if (
+            len(segments) == 3
+            and segments[0] == "lots"
+            and segments[2] == "acknowledge"
+        ):
+            return await self._acknowledge(request, segments[1])
+        if (
+            len(segments) == 3
+            and segments[0] == "trainers"
+            and segments[2] == "version"
+        ):
+            return await self._set_version(request, segments[1])
         raise BuckthornstileError(
-            ErrorCode.ROUTE_UNKNOWN, f"no trainers' path {request.path[:80]!r}"
+            ErrorCode.ROUTE_UNKNOWN, f"path {request.path[:80]!r} does not exist"
         )
 
     # Versions and acknowledgements
 
     async def _set_version(self, request: ApiRequest, trainer: str) -> Response:
         key = authenticate(self.dependencies, request)
-        version = read_object(request).get("version")
-        if not is_count(version):
+        version = parse_json_object(request).get("version")
+        if not is_non_negative_int(version):
             raise BuckthornstileError(
-                ErrorCode.BODY_MALFORMED, "version must be a whole number from 0"
+                ErrorCode.BODY_MALFORMED, "version must be an integer of at least 0"
             )
         configuration = self.dependencies.configuration_watcher.current
         rule = configuration.find_rule(
@@ -95,75 +108,78 @@
         model = None
         if rule is not None:
             model = find_model(self.dependencies.view, rule.service, trainer)
-        name = make_trainer_name(key.account, trainer)
+        trainer_key = make_trainer_key(key.account, trainer)
         await self.dependencies.configuration_watcher.publish_version(
-            name, model, int(str(version))
+            trainer_key, model, int(str(version))
         )
-        return make_json_reply({"version": version})
+        return make_json_response({"version": version})
 
     async def _acknowledge(self, request: ApiRequest, lot: str) -> Response:
-        """Ends the lot's jobs once the trainer has every sample."""
+        """Confirms the slots that a trainer has received, if its attach is current."""
         key = authenticate(self.dependencies, request)
-        data = read_object(request)
+        data = parse_json_object(request)
         slots = parse_slots(data.get("slots", []))
         trainer = data.get("trainer")
         if not isinstance(trainer, str):
-            raise BuckthornstileError(ErrorCode.LOT_INVALID, "trainer must be a text")
+            raise BuckthornstileError(ErrorCode.LOT_INVALID, "trainer must be a string")
         lot_id = make_lot_id(key.account, trainer, lot)
         jobs = self.lot_jobs.find_jobs(lot_id)
         if not jobs:
             raise BuckthornstileError(
-                ErrorCode.LOT_UNKNOWN, f"lot {lot!r} is not known here"
+                ErrorCode.LOT_UNKNOWN, f"lot {lot!r} is not known to this entry"
             )
-        if int(str(data.get("attach") or 0)) < self._newest.get(lot_id, 0):
+        if int(str(data.get("attach") or 0)) < self._newest_attach.get(lot_id, 0):
             raise BuckthornstileError(
-                ErrorCode.ATTACH_OLD, "the trainer has attached again since"
+                ErrorCode.ATTACH_OLD,
+                "the trainer has attached to the lot again",
             )
-        return make_json_reply({"acknowledged": len(slots)})
+        return make_json_response({"acknowledged": len(slots)})
 
     # Lots
 
     async def _attach(self, request: ApiRequest) -> StreamingResponse:
         if self.dependencies.is_stopping():
-            raise _make_draining()
-        attach = self._plan(request)
-        if self.open >= self.dependencies.settings.max_lots:
+            raise _make_draining_error()
+        attachment = self._prepare_attachment(request)
+        if self.open_lots >= self.dependencies.settings.max_lots:
             raise BuckthornstileError(
-                ErrorCode.QUEUE_FULL, f"{self.open} lots are open", retry_after=1.0
+                ErrorCode.QUEUE_FULL, f"{self.open_lots} lots are open", retry_after=1.0
             )
-        await self.lot_jobs.follow(attach)
-        job = await self.lot_jobs.open_job(attach)
+        await self.lot_jobs.load_partition(attachment)
+        job = await self.lot_jobs.open_job(attachment)
         log_event(
             "lot.attached",
-            lot=attach.lot,
+            lot=attachment.lot,
             job=job.id,
-            attach=attach.number,
-            missing=len(attach.missing),
+            attach=attachment.number,
+            missing=len(attachment.missing),
         )
-        chunks = self._stream(attach, job)
+        chunks = self._stream(attachment, job)
         await anext(chunks)
-        return StreamingResponse(200, (LINE_TYPE,), chunks)
+        return StreamingResponse(200, (NDJSON_CONTENT_TYPE,), chunks)
 
-    def _plan(self, request: ApiRequest) -> LotAttachment:
-        data = read_object(request)
+    def _prepare_attachment(self, request: ApiRequest) -> LotAttachment:
+        data = parse_json_object(request)
         specification = parse_specification(data.get("specification"))
         number = data.get("attach")
-        if not is_count(number) or int(str(number)) >= MAX_ATTACH:
+        if not is_non_negative_int(number) or int(str(number)) >= MAX_ATTACH_NUMBER:
             raise BuckthornstileError(
-                ErrorCode.LOT_INVALID, "attach must be a whole number from 0"
+                ErrorCode.LOT_INVALID,
+                "attach must be an integer from 0 to 2**40 - 1",
             )
         authorization = authorize(
             self.dependencies, request, specification.trainer, specification.path
         )
         account = authorization.account.name
         lot = make_lot_id(account, specification.trainer, specification.lot)
-        if int(str(number)) < self._newest.get(lot, 0):
+        if int(str(number)) < self._newest_attach.get(lot, 0):
             raise BuckthornstileError(
-                ErrorCode.ATTACH_OLD, "the trainer has attached again since"
+                ErrorCode.ATTACH_OLD,
+                "the trainer has attached to the lot again",
             )
-        self._newest[lot] = int(str(number))
+        self._newest_attach[lot] = int(str(number))
         service = authorization.route.services[0][0]
-        bounded = specification.model_copy(
+        bounded_specification = specification.model_copy(
             update={
                 "maximum_age": min(specification.maximum_age, authorization.maximum_age)
             }
@@ -171,26 +187,26 @@
         received = parse_slots(data.get("received", []))
         return LotAttachment(
             authorization,
-            bounded,
+            bounded_specification,
             lot,
             int(str(number)),
             find_model(self.dependencies.view, service, specification.trainer),
             self.dependencies.clock() + specification.timeout,
-            set(bounded.iterate_slots()) - received,
+            set(bounded_specification.iterate_slots()) - received,
         )
 
     async def _stream(
-        self, attach: LotAttachment, job: Job
+        self, attachment: LotAttachment, job: Job
     ) -> AsyncGenerator[bytes, None]:
-        self.open += 1
+        self.open_lots += 1
         try:
             yield b""
-            async for line in self._make_lines(attach, job):
+            async for line in self._generate_lines(attachment, job):
                 yield line
         except BuckthornstileError as error:
             log_event(
                 "lot.ended",
-                lot=attach.lot,
+                lot=attachment.lot,
                 error=error.code.value,
                 reason=error.message,
             )
@@ -203,63 +219,65 @@
                 )
             )
         finally:
-            self.open -= 1
+            self.open_lots -= 1
 
-    async def _make_lines(
-        self, attach: LotAttachment, job: Job
+    async def _generate_lines(
+        self, attachment: LotAttachment, job: Job
     ) -> AsyncGenerator[bytes, None]:
-        silent_since = self.dependencies.clock()
+        last_line_at = self.dependencies.clock()
         position = 0
-        while attach.missing:
-            self._check(attach)
+        while attachment.missing:
+            self._check_attachment(attachment)
             self.dependencies.jobs.request_partition(job.part)
-            minimum = self.lot_jobs.find_minimum(attach)
-            if minimum > job.specification.minimum_version:
-                job, position = await self.lot_jobs.open_job(attach), 0
+            minimum_version = self.lot_jobs.find_minimum_version(attachment)
+            if minimum_version > job.specification.minimum_version:
+                job, position = await self.lot_jobs.open_job(attachment), 0
             while position < len(job.results):
                 result = job.results[position]
                 position += 1
-                sample = make_sample(result, minimum)
-                if sample is not None and sample.slot in attach.missing:
-                    attach.missing.discard(sample.slot)
-                    silent_since = self.dependencies.clock()
+                sample = make_sample(result, minimum_version)
+                if sample is not None and sample.slot in attachment.missing:
+                    attachment.missing.discard(sample.slot)
+                    last_line_at = self.dependencies.clock()
                     yield encode_sample(sample)
-            if not attach.missing:
+            if not attachment.missing:
                 break
             if job.is_finished():
-                # The next attach has them made again.
+                # The next attach creates a job that generates these samples again.
                 raise BuckthornstileError(
                     ErrorCode.UPSTREAM_FAILED,
-                    f"{len(attach.missing)} samples of the lot were given up",
+                    f"{len(attachment.missing)} samples of the lot were given up",
                     verdict=Verdict.MAY_HAVE_RUN,
                 )
-            if self.dependencies.clock() - silent_since > HEARTBEAT_PERIOD:
-                silent_since = self.dependencies.clock()
+            if self.dependencies.clock() - last_line_at > HEARTBEAT_INTERVAL:
+                last_line_at = self.dependencies.clock()
                 yield encode_line(HeartbeatLine())
-            await _wait_for_change(job, POLL_PERIOD)
-        yield encode_line(EndLine(delivered=attach.specification.slot_count))
+            await _wait_for_change(job, POLL_INTERVAL)
+        yield encode_line(EndLine(delivered=attachment.specification.slot_count))
 
-    def _check(self, attach: LotAttachment) -> None:
-        """Checks that the attach may go on.
+    def _check_attachment(self, attachment: LotAttachment) -> None:
+        """Checks that the attachment may continue.
 
         Raises:
-            BuckthornstileError: The key, the attach, the time or the entry has ended.
+            BuckthornstileError: The key is not valid, the trainer has attached again,
+                the timeout has passed or the entry is stopping.
         """
-        error = self.dependencies.revocation.find_error(attach.authorization.key)
+        error = self.dependencies.revocation.find_error(attachment.authorization.key)
         if error is not None:
             raise error
-        if self._newest.get(attach.lot, 0) > attach.number:
+        if self._newest_attach.get(attachment.lot, 0) > attachment.number:
             raise BuckthornstileError(
-                ErrorCode.ATTACH_OLD, "the trainer has attached again since"
+                ErrorCode.ATTACH_OLD,
+                "the trainer has attached to the lot again",
             )
-        if self.dependencies.clock() > attach.deadline:
+        if self.dependencies.clock() > attachment.deadline:
             raise BuckthornstileError(
                 ErrorCode.DEADLINE_PASSED,
-                "the lot's timeout has passed",
+                "the lot timed out",
                 verdict=Verdict.MAY_HAVE_RUN,
             )
         if self.dependencies.is_stopping():
-            raise _make_draining()
+            raise _make_draining_error()
 
 
 async def _wait_for_change(job: Job, seconds: float) -> None:
@@ -273,7 +291,7 @@
     await asyncio.wait({changed}, timeout=seconds)
 
 
-def _make_draining() -> BuckthornstileError:
+def _make_draining_error() -> BuckthornstileError:
     return BuckthornstileError(
-        ErrorCode.DRAINING, "this entry stops", retry_after=POLL_PERIOD
+        ErrorCode.DRAINING, "this entry is stopping", retry_after=POLL_INTERVAL
     )
--- a/buckthornstile/api/_lot_jobs.py
+++ b/buckthornstile/api/_lot_jobs.py
@@ -1,9 +1,9 @@
-"""Lots as batch jobs: their ids, items, and the samples of their results."""
+"""Conversion of lots to batch jobs, and of job results to samples."""
 
 import hashlib
 import json
 
-from buckthornstile.api._generation import make_generation
+from buckthornstile.api._generation import make_generation_hints
 from buckthornstile.base import AccountId, KeyId, LotId, WeightVersion
 from buckthornstile.jobs import (
     ItemId,
@@ -18,7 +18,7 @@
 from buckthornstile.samples import LotSpecification, Sample, Slot, TokenRange
 from buckthornstile.topology import API_HOST, ModelName
 
-NAME_BYTES = 12
+LOT_DIGEST_BYTES = 12
 
 
 def make_job(
@@ -30,29 +30,29 @@
     key: KeyId,
     route: str,
     model: ModelName,
-    minimum: int,
+    minimum_version: int,
     submitted_at: float,
 ) -> JobSpecification:
-    """Makes the job of a lot: an item for each slot, a group for each prompt.
+    """Builds the job of a lot, with an item for each slot and a group for each prompt.
 
     Args:
-        specification: The lot.
-        job_id: The job's id.
-        lot: The lot's id, unique over all client accounts.
+        specification: The specification of the lot.
+        job_id: The id of the job.
+        lot: The id of the lot, unique across all client accounts.
         account: The client account.
-        key: The key that came with it.
-        route: The name of the rule that serves it.
-        model: The model that its trainer trains.
-        minimum: The oldest version that a sample may have.
-        submitted_at: Seconds since the epoch.
+        key: The id of the API key of the request.
+        route: The name of the rule that serves the lot.
+        model: The model that generates the samples.
+        minimum_version: The oldest weight version that a sample may have.
+        submitted_at: Submission time, in seconds since the epoch.
     """
-    name = make_lot_name(lot)
+    lot_digest = make_lot_digest(lot)
     items = []
     for number, group in enumerate(specification.groups):
-        generation = make_generation(
+        hints = make_generation_hints(
             model, group.prompt, group.max_tokens, group.expected_tokens
         )
-        headers = encode_generation(generation)
+        headers = encode_generation(hints)
         for index in range(group.samples):
             fields = {
                 "prompt": group.prompt,
@@ -61,11 +61,11 @@
             }
             items.append(
                 JobItem(
-                    id=ItemId(f"{name}-{number}-{index}"),
+                    id=ItemId(f"{lot_digest}-{number}-{index}"),
                     path=specification.path,
                     headers=headers,
                     body=json.dumps(fields).encode(),
-                    tokens=generation.prompt_tokens + group.max_tokens,
+                    tokens=hints.prompt_tokens + group.max_tokens,
                     group=str(number),
                     expected_tokens=group.expected_tokens,
                 )
@@ -78,62 +78,68 @@
         submitted_at=submitted_at,
         items=tuple(items),
         model=model,
-        minimum_version=minimum,
+        minimum_version=minimum_version,
         time_limit=specification.timeout,
         key=key,
     )
 
 
-def make_sample(result: ItemResult, minimum: int) -> Sample | None:
-    """Makes a sample of a result; None if it was given up or is too old."""
+def make_sample(result: ItemResult, minimum_version: int) -> Sample | None:
+    """Builds the sample of a result, or returns None if it is incomplete or too old."""
     if result.state is not ResultState.COMPLETE:
         return None
-    if min(result.versions, default=-1) < minimum:
+    if min(result.versions, default=-1) < minimum_version:
         return None
-    labels = []
+    token_ranges = []
     first = 0
-    for run in result.version_spans:
-        last = first + run.events - 1
-        labels.append(TokenRange(first, last, WeightVersion(run.version)))
+    for span in result.version_spans:
+        last = first + span.events - 1
+        token_ranges.append(TokenRange(first, last, WeightVersion(span.version)))
         first = last + 1
-    text = result.text.split("\n")
-    body = json.dumps({"text": result.text, "events": text}).encode()
-    return Sample(read_slot(result.item), body, tuple(labels))
+    events = result.text.split("\n")
+    body = json.dumps({"text": result.text, "events": events}).encode()
+    return Sample(parse_slot(result.item), body, tuple(token_ranges))
 
 
-def make_lot_name(lot: LotId) -> str:
-    """Makes a short name of a lot, for ids.
+def make_lot_digest(lot: LotId) -> str:
+    """Returns the digest of a lot id, a prefix of the ids of its jobs and items.
 
     Example:
-        >>> len(make_lot_name("mill-7/geometry/step-9"))
+        >>> len(make_lot_digest("mill-7/geometry/step-9"))
         24
     """
-    return hashlib.blake2b(lot.encode(), digest_size=NAME_BYTES).hexdigest()
+    return hashlib.blake2b(lot.encode(), digest_size=LOT_DIGEST_BYTES).hexdigest()
 
 
-def make_job_id(lot: LotId, minimum: int, number: int = 0) -> JobId:
-    """Makes the id of a lot's job for one oldest version, from number 0 on."""
-    return JobId(f"{make_lot_name(lot)}.{minimum}.{number}")
+def make_job_id(lot: LotId, minimum_version: int, number: int = 0) -> JobId:
+    """Returns the id of a job of a lot.
+
+    Args:
+        lot: The id of the lot.
+        minimum_version: The oldest weight version that a sample may have.
+        number: The number of the job among those of this version, from 0.
+    """
+    return JobId(f"{make_lot_digest(lot)}.{minimum_version}.{number}")
 
 
-def make_trainer_name(account: AccountId, trainer: str) -> str:
-    """Makes the name under which a trainer's version is kept."""
+def make_trainer_key(account: AccountId, trainer: str) -> str:
+    """Returns the record key under which the version of a trainer is stored."""
     return f"{account}/{trainer}"
 
 
-def has_given_up(job: Job, missing: set[Slot]) -> bool:
-    """Whether a job is over and some of the missing samples are not in it."""
+def is_finished_without(job: Job, missing: set[Slot]) -> bool:
+    """Whether a job is finished but lacks at least one of the missing samples."""
     if not job.is_finished():
         return False
     complete = {
-        read_slot(result.item)
+        parse_slot(result.item)
         for result in job.results
         if result.state is ResultState.COMPLETE
     }
     return not missing <= complete
 
 
-def read_slot(item: ItemId) -> Slot:
-    """Reads the slot that an item's id names."""
+def parse_slot(item: ItemId) -> Slot:
+    """Returns the slot that an item id contains."""
     _, group, index = item.rsplit("-", 2)
     return Slot(int(group), int(index))
--- a/buckthornstile/api/_lot_requests.py
+++ b/buckthornstile/api/_lot_requests.py
@@ -1,4 +1,4 @@
-"""Reads the bodies of trainers' requests."""
+"""Parsing of the bodies of trainers' requests."""
 
 from collections.abc import Iterable
 
@@ -7,35 +7,35 @@
 from buckthornstile.samples import Slot
 
 
-def is_count(value: object) -> bool:
-    """Whether a value is a whole number from 0.
+def is_non_negative_int(value: object) -> bool:
+    """Whether a value is an integer of at least 0; booleans are not integers here.
 
     Example:
-        >>> is_count(3), is_count(True), is_count(-1)
+        >>> is_non_negative_int(3), is_non_negative_int(True), is_non_negative_int(-1)
         (True, False, False)
     """
     return type(value) is int and value >= 0
 
 
-def read_object(request: ApiRequest) -> dict[str, object]:
-    """Reads a body that must be an object.
+def parse_json_object(request: ApiRequest) -> dict[str, object]:
+    """Parses the body of a request as a JSON object.
 
     Raises:
-        BuckthornstileError: ``BODY_MALFORMED``.
+        BuckthornstileError: ``BODY_MALFORMED``: the body is not a JSON object.
     """
-    value = request.read_json()
+    value = request.parse_json()
     if not isinstance(value, dict):
         raise BuckthornstileError(
-            ErrorCode.BODY_MALFORMED, "the body is no JSON object"
+            ErrorCode.BODY_MALFORMED, "the body is not a JSON object"
         )
     return value
 
 
 def parse_slots(value: object) -> set[Slot]:
-    """Parses pairs of group and index.
+    """Parses a list of pairs of group and index.
 
     Raises:
-        BuckthornstileError: ``LOT_INVALID``.
+        BuckthornstileError: ``LOT_INVALID``: the value is not such a list.
     """
     if not isinstance(value, list):
         raise _make_slots_error()
@@ -44,12 +44,16 @@
 
 def _iterate_slots(pairs: Iterable[object]) -> Iterable[Slot]:
     for pair in pairs:
-        if not isinstance(pair, list) or len(pair) != 2 or not all(map(is_count, pair)):
+        if (
+            not isinstance(pair, list)
+            or len(pair) != 2
+            or not all(map(is_non_negative_int, pair))
+        ):
             raise _make_slots_error()
         yield Slot(pair[0], pair[1])
 
 
 def _make_slots_error() -> BuckthornstileError:
     return BuckthornstileError(
-        ErrorCode.LOT_INVALID, "slots must be pairs of group and index"
+        ErrorCode.LOT_INVALID, "slots must be a list of pairs of group and index"
     )
--- a/buckthornstile/api/_operator_handlers.py
+++ b/buckthornstile/api/_operator_handlers.py
@@ -1,30 +1,30 @@
-"""What an entry tells operators and the balancer of itself."""
+"""Health, readiness, metrics and status of an entry for operators."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from buckthornstile.api._dependencies import ApiDependencies
-from buckthornstile.api._requests import ApiRequest, make_json_reply
+from buckthornstile.api._requests import ApiRequest, make_json_response
 from buckthornstile.base import ProcessName
 from buckthornstile.logs import EventLogHandler
 from buckthornstile.messages import Response
 
-MAX_LINES = 200
-"""Recent event lines in one answer."""
+MAX_EVENT_LINES = 200
+"""Number of recent event log lines in one response."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessState:
-    """What an entry knows of itself.
+    """State of an entry process.
 
     Args:
-        ready: Whether callers may be sent here.
-        stopping: Whether it was asked to stop.
-        is_holder: Whether it holds the lease.
-        term: The lease's newest term.
-        holder: Who holds the lease.
-        jobs: Jobs that it runs.
-        entries: The entries that live.
+        ready: Whether the entry accepts requests of callers.
+        stopping: Whether the entry was asked to stop.
+        is_holder: Whether the entry is the lease holder.
+        term: The newest known term of the lease.
+        holder: The process that holds the lease, or None.
+        jobs: Number of jobs that the entry runs.
+        entries: The entries that are alive.
     """
 
     ready: bool
@@ -37,22 +37,22 @@
 
 
 class OperatorHandlers:
-    """Answers operators; none of it needs a key."""
+    """Handles the requests of operators, none of which needs an API key."""
 
     def __init__(
         self,
         dependencies: ApiDependencies,
-        events: EventLogHandler,
-        read_state: Callable[[], ProcessState],
+        event_log: EventLogHandler,
+        get_state: Callable[[], ProcessState],
         render_metrics: Callable[[], str],
     ) -> None:
         self.dependencies = dependencies
-        self.events = events
-        self.read_state = read_state
+        self.event_log = event_log
+        self.get_state = get_state
         self.render_metrics = render_metrics
 
-    def find(self, path: str) -> Callable[[ApiRequest], Response] | None:
-        """Finds what answers a path, or None if it is no operator's."""
+    def find_handler(self, path: str) -> Callable[[ApiRequest], Response] | None:
+        """Returns the handler of a path, or None if the path is not for operators."""
         return {
             "/healthz": self._show_health,
             "/readyz": self._show_readiness,
@@ -62,18 +62,18 @@
         }.get(path)
 
     def _show_health(self, request: ApiRequest) -> Response:
-        return make_json_reply({"live": True})
+        return make_json_response({"live": True})
 
     def _show_readiness(self, request: ApiRequest) -> Response:
-        ready = self.read_state().ready
-        return make_json_reply({"ready": ready}, 200 if ready else 503)
+        ready = self.get_state().ready
+        return make_json_response({"ready": ready}, 200 if ready else 503)
 
     def _show_metrics(self, request: ApiRequest) -> Response:
         headers = (("Content-Type", "text/plain; version=0.0.4"),)
         return Response(200, self.render_metrics().encode(), headers)
 
     def _show_status(self, request: ApiRequest) -> Response:
-        state = self.read_state()
+        state = self.get_state()
         configuration = self.dependencies.configuration_watcher.current
         view = self.dependencies.view
         upstreams = [
@@ -86,7 +86,7 @@
             }
             for _, upstream in sorted(view.upstreams.items())
         ]
-        return make_json_reply(
+        return make_json_response(
             {
                 "process": self.dependencies.settings.process,
                 "failure_domain": self.dependencies.settings.failure_domain,
@@ -109,18 +109,18 @@
                 },
                 "entries": list(state.entries),
                 "drained": sorted(view.drained_domains | view.evacuated_domains),
-                "open_calls": self.dependencies.admission.open,
+                "open_calls": self.dependencies.admission.open_calls,
                 "jobs": state.jobs,
                 "upstreams": upstreams,
             }
         )
 
     def _explain(self, request: ApiRequest) -> Response:
-        subject = request.read_argument("subject")
-        return make_json_reply(
+        subject = request.get_query_parameter("subject")
+        return make_json_response(
             {
                 "process": self.dependencies.settings.process,
-                "lines": self.events.list_recent(subject)[-MAX_LINES:],
-                "counts": self.events.count_events(subject),
+                "lines": self.event_log.list_recent(subject)[-MAX_EVENT_LINES:],
+                "counts": self.event_log.count_events(subject),
             }
         )
--- a/buckthornstile/api/_requests.py
+++ b/buckthornstile/api/_requests.py
@@ -1,4 +1,4 @@
-"""Requests of the product's own interface, and the answers in its form."""
+"""Decoding of API requests and encoding of API responses."""
 
 import json
 import uuid
@@ -22,24 +22,24 @@
 VERDICT_HEADER = "X-Verdict"
 FORWARDED_HEADERS = frozenset({"content-type", "accept"})
 MAX_IDEMPOTENCY_KEY_LENGTH = 200
-JSON_TYPE = ("Content-Type", "application/json")
+JSON_CONTENT_TYPE = ("Content-Type", "application/json")
 
 
 @dataclass(frozen=True, slots=True)
 class ApiRequest:
-    """One attempt of a caller, trainer or operator.
+    """One HTTP request of a caller, trainer or operator.
 
     Args:
-        id: The system's own id for it.
+        id: The id that the entry generated for the request.
         method: The HTTP method.
         path: The path, without its query.
-        query: The query.
-        host: The host that it names, which goes on to a plain service.
-        headers: What goes on to a plain service.
+        query: The query string.
+        host: The ``Host`` header, forwarded to a plain service.
+        headers: The headers that are forwarded to a plain service.
         body: The body.
-        key: The client account's key, or None.
-        idempotency_key: The caller's name for the call, or empty.
-        timeout: The header that names its timeout, or empty.
+        key: The API key in plain text, or None.
+        idempotency_key: The idempotency key that the caller chose, or empty.
+        timeout: The value of the timeout header, or empty.
     """
 
     id: str
@@ -53,28 +53,33 @@
     idempotency_key: IdempotencyKey = IdempotencyKey("")
     timeout: str = ""
 
-    def read_json(self) -> object:
-        """Reads the body.
+    def parse_json(self) -> object:
+        """Parses the body as JSON.
 
         Raises:
-            BuckthornstileError: ``BODY_MALFORMED``: it is no JSON.
+            BuckthornstileError: ``BODY_MALFORMED``: the body is not valid JSON.
         """
         try:
             return json.loads(self.body)
         except (ValueError, RecursionError) as error:
             raise BuckthornstileError(
-                ErrorCode.BODY_MALFORMED, "the body is no JSON"
+                ErrorCode.BODY_MALFORMED, "the body is not valid JSON"
             ) from error
 
-    def read_argument(self, name: str) -> str:
-        """Reads an argument of the query, or gives an empty text."""
+    def get_query_parameter(self, name: str) -> str:
+        """Returns the first value of a query parameter, or an empty string."""
         return parse_qs(self.query).get(name, [""])[0]
 
-    def read_timeout(self, default: float, maximum: float) -> float:
-        """Reads the seconds that the caller still waits.
+    def parse_timeout(self, default: float, maximum: float) -> float:
+        """Parses the seconds until the caller times out.
+
+        Args:
+            default: Seconds if the request has no timeout header.
+            maximum: Upper bound of the result, in seconds.
 
         Raises:
-            BuckthornstileError: ``HEADER_INVALID``: it is no time in range.
+            BuckthornstileError: ``HEADER_INVALID``: the header is not a finite number
+                above 0.
         """
         if not self.timeout:
             return default
@@ -85,7 +90,8 @@
         if not 0 < seconds < float("inf"):
             raise BuckthornstileError(
                 ErrorCode.HEADER_INVALID,
-                f"{TIMEOUT_HEADER} is {self.timeout[:20]!r}; it must be above 0 s",
+                f"{TIMEOUT_HEADER} is {self.timeout[:20]!r}; it must be a finite "
+                f"number of seconds above 0",
             )
         return min(seconds, maximum)
 
@@ -93,7 +99,7 @@
 def decode_api_request(
     method: str, target: str, headers: HTTPHeaders, body: bytes
 ) -> ApiRequest:
-    """Decodes a request; a header out of its range is found when it is used."""
+    """Decodes a request; values of headers are validated only when they are used."""
     path, _, query = target.partition("?")
     scheme, _, key = headers.get(KEY_HEADER, "").partition(" ")
     return ApiRequest(
@@ -115,10 +121,10 @@
 
 
 def check_idempotency_key(key: IdempotencyKey) -> None:
-    """Checks the caller's name for a call.
+    """Checks the idempotency key of a call.
 
     Raises:
-        BuckthornstileError: ``HEADER_INVALID``: it is too long or not printable.
+        BuckthornstileError: ``HEADER_INVALID``: the key is too long or not printable.
 
     Example:
         >>> check_idempotency_key(IdempotencyKey("blade-7"))
@@ -132,38 +138,38 @@
 
 
 def encode_api_response(
-    request: ApiRequest, reply: Response | StreamingResponse
+    request: ApiRequest, response: Response | StreamingResponse
 ) -> Headers:
-    """Gives the headers of an answer, without those of the connection."""
-    return reply.headers
+    """Returns the headers of a response, without those of the connection."""
+    return response.headers
 
 
-def make_json_reply(value: object, status: int = 200) -> Response:
-    """Makes an answer of the system itself.
+def make_json_response(value: object, status: int = 200) -> Response:
+    """Builds a JSON response of the entry itself.
 
     Example:
-        >>> make_json_reply({"version": 2}).body
+        >>> make_json_response({"version": 2}).body
         b'{"version": 2}'
     """
-    return Response(status, json.dumps(value).encode(), (JSON_TYPE,))
+    return Response(status, json.dumps(value).encode(), (JSON_CONTENT_TYPE,))
 
 
 def make_api_error(error: BuckthornstileError) -> Response:
-    """Makes the answer to a request that failed: JSON with code and verdict.
+    """Builds the response to a failed request: JSON with error code and verdict.
 
     Example:
         >>> make_api_error(BuckthornstileError(ErrorCode.KEY_MISSING)).status
         401
     """
     body = json.dumps({"error": describe_error(error)}).encode()
-    headers = [JSON_TYPE, (VERDICT_HEADER, error.verdict.value)]
+    headers = [JSON_CONTENT_TYPE, (VERDICT_HEADER, error.verdict.value)]
     if error.retry_after is not None:
         headers.append(("Retry-After", f"{error.retry_after:.3f}"))
     return Response(get_http_status(error.code), body, tuple(headers))
 
 
 def describe_error(error: BuckthornstileError) -> dict[str, object]:
-    """Describes an error as the interface shows it."""
+    """Returns an error as a JSON object of the API."""
     return {
         "code": error.code.value,
         "message": error.message,
--- a/buckthornstile/api/_revocation.py
+++ b/buckthornstile/api/_revocation.py
@@ -1,4 +1,4 @@
-"""Ends work under a key that has stopped working."""
+"""Cancellation of running work when its API key is withdrawn."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -11,10 +11,11 @@
 
 
 class RevocationMonitor:
-    """Keeps what runs under each key, and ends it with the key.
+    """Tracks the running work of each API key and cancels it when the key is revoked.
 
     Args:
-        find_error: Gives why work under a key must end, or None if it may go on.
+        find_error: A function that returns the error to stop work under a key with, or
+            None if the work may continue.
     """
 
     def __init__(self, find_error: FindError) -> None:
@@ -22,40 +23,41 @@
         self._running: dict[asyncio.Future[BuckthornstileError], KeyId] = {}
 
     def cancel_revoked(self) -> None:
-        """Ends all work under keys that do not work any more."""
-        for ended, key in list(self._running.items()):
+        """Cancels all work under keys that are no longer valid."""
+        for revoked, key in list(self._running.items()):
             error = self.find_error(key)
-            if error is not None and not ended.done():
-                ended.set_result(error)
+            if error is not None and not revoked.done():
+                revoked.set_result(error)
 
     async def run(self, key: KeyId, work: Coroutine[Any, Any, _Result]) -> _Result:
-        """Runs work and breaks it off once its key stops working.
+        """Runs work and cancels it as soon as its key is no longer valid.
 
         Args:
-            key: The key, or an empty one for work that needs none.
-            work: The work; its upstream's connection closes when it is cancelled.
+            key: The id of the key; empty for work that needs no key.
+            work: The work; cancelling it closes the connection to its upstream.
 
         Raises:
-            BuckthornstileError: What the work raised, or why the key stopped.
+            BuckthornstileError: The error of the work, or the reason why the key is no
+                longer valid.
         """
-        ended: asyncio.Future[BuckthornstileError]
-        ended = asyncio.get_running_loop().create_future()
+        revoked: asyncio.Future[BuckthornstileError]
+        revoked = asyncio.get_running_loop().create_future()
         if key:
-            self._running[ended] = key
+            self._running[revoked] = key
         task = asyncio.ensure_future(work)
-        either: set[asyncio.Future[Any]] = {task, ended}
+        futures: set[asyncio.Future[Any]] = {task, revoked}
         try:
-            await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(futures, return_when=asyncio.FIRST_COMPLETED)
             if task.done():
                 return task.result()
-            raise ended.result()
+            raise revoked.result()
         finally:
-            self._running.pop(ended, None)
+            self._running.pop(revoked, None)
             if not task.done():
                 task.cancel()
                 await asyncio.wait({task})
 
 
-def make_withdrawn(code: ErrorCode, message: str) -> BuckthornstileError:
-    """Makes the error of work that its key's end broke off."""
+def make_revocation_error(code: ErrorCode, message: str) -> BuckthornstileError:
+    """Returns the error of work that is cancelled because its key is not valid."""
     return BuckthornstileError(code, message, verdict=Verdict.MAY_HAVE_RUN)
--- a/buckthornstile/api/tests/test_admission.py
+++ b/buckthornstile/api/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Places are shared by weight, bounded, and given back."""
+"""Admission shares capacity by weight, rejects excess calls and frees capacity."""
 
 import asyncio
 from collections import Counter
@@ -9,91 +9,97 @@
 from buckthornstile.base import BuckthornstileError, ErrorCode, RequestClass
 from buckthornstile.configuration import Account
 
-DESK = "desk"
+SERVICE = "desk"
 
 
-def make_admission(places, **options):
+def make_controller(limit, **options):
     loop = asyncio.get_running_loop()
     options = {"maximum_open": 1000, **options}
-    return AdmissionController(lambda service: places, loop.time, **options)
+    return AdmissionController(lambda service: limit, loop.time, **options)
 
 
-async def enter(
-    admission, account, number, *, seconds=5.0, name=RequestClass.INTERACTIVE
+async def acquire(
+    controller, account, number, *, seconds=5.0, request_class=RequestClass.INTERACTIVE
 ):
-    await admission.enter(
-        DESK,
+    await controller.acquire(
+        SERVICE,
         account,
-        name,
+        request_class,
         f"{account.name}-{number}",
         cost=1.0,
         deadline=asyncio.get_running_loop().time() + seconds,
     )
 
 
-def test_a_flood_leaves_others_their_share():
-    async def go():
-        admission = make_admission(2)
-        flood, quiet = Account(name="flood"), Account(name="quiet")
+def test_account_with_many_calls_leaves_other_account_its_share():
+    """Guards against an account that starves others by queueing many calls first."""
+
+    async def run():
+        controller = make_controller(2)
+        busy, quiet = Account(name="busy"), Account(name="quiet")
         served = Counter()
         order = []
 
         async def call(account, number):
-            await enter(admission, account, number)
+            await acquire(controller, account, number)
             order.append(account.name)
             await asyncio.sleep(0.002)
-            admission.leave(DESK, account.name)
+            controller.release(SERVICE, account.name)
             served[account.name] += 1
 
-        calls = [call(flood, number) for number in range(100)]
+        calls = [call(busy, number) for number in range(100)]
         calls += [call(quiet, number) for number in range(10)]
         await asyncio.gather(*calls)
         return served, order
 
-    served, order = asyncio.run(go())
-    assert served == {"flood": 100, "quiet": 10}
-    # By its share, every other place is the quiet account's.
+    served, order = asyncio.run(run())
+    assert served == {"busy": 100, "quiet": 10}
+    # With equal weights, every other admission belongs to the quiet account.
     assert max(i for i, name in enumerate(order) if name == "quiet") < 40
 
 
-def test_bounds_are_coded_refusals():
-    async def go():
-        admission = make_admission(1, maximum_open=3)
+def test_exceeded_limits_raise_coded_errors():
+    """Guards against calls that queue beyond the account's limit or their deadline."""
+
+    async def run():
+        controller = make_controller(1, maximum_open=3)
         account = Account(name="mill", maximum_open=2)
-        await enter(admission, account, 0)
-        waiting = asyncio.create_task(enter(admission, account, 1, seconds=0.3))
+        await acquire(controller, account, 0)
+        queued = asyncio.create_task(acquire(controller, account, 1, seconds=0.3))
         await asyncio.sleep(0.01)
         with pytest.raises(BuckthornstileError) as caught:
-            await enter(admission, account, 2)
+            await acquire(controller, account, 2)
         assert caught.value.code is ErrorCode.QUEUE_FULL
         assert caught.value.retry_after
         with pytest.raises(BuckthornstileError) as caught:
-            await waiting
+            await queued
         assert caught.value.code is ErrorCode.DEADLINE_PASSED
-        admission.leave(DESK, account.name)
-        assert admission.open == 0
-        await enter(admission, account, 3)
+        controller.release(SERVICE, account.name)
+        assert controller.open_calls == 0
+        await acquire(controller, account, 3)
+
+    asyncio.run(run())
 
-    asyncio.run(go())
 
+def test_cancelled_queued_call_holds_no_capacity():
+    """Guards against capacity that is lost when a caller disconnects while queued."""
 
-def test_a_caller_who_leaves_the_queue_holds_no_place():
-    async def go():
-        admission = make_admission(1)
+    async def run():
+        controller = make_controller(1)
         account = Account(name="mill")
-        await enter(admission, account, 0)
-        waiting = [
-            asyncio.create_task(enter(admission, account, number))
+        await acquire(controller, account, 0)
+        queued = [
+            asyncio.create_task(acquire(controller, account, number))
             for number in range(1, 4)
         ]
         await asyncio.sleep(0.01)
-        waiting[0].cancel()
+        queued[0].cancel()
         await asyncio.sleep(0.01)
-        admission.leave(DESK, account.name)
-        await waiting[1]
-        admission.leave(DESK, account.name)
-        await waiting[2]
-        admission.leave(DESK, account.name)
-        assert admission.open == 0
-
-    asyncio.run(go())
+        controller.release(SERVICE, account.name)
+        await queued[1]
+        controller.release(SERVICE, account.name)
+        await queued[2]
+        controller.release(SERVICE, account.name)
+        assert controller.open_calls == 0
+
+    asyncio.run(run())
--- a/buckthornstile/api/tests/test_deduplication.py
+++ b/buckthornstile/api/tests/test_deduplication.py
@@ -1,4 +1,4 @@
-"""A named call runs once, whichever entries its attempts reach."""
+"""A call with an idempotency key runs once, whichever entries receive it."""
 
 import asyncio
 
@@ -14,13 +14,16 @@
 ACCOUNT = "mill"
 
 
-class World:
-    def __init__(self, guard_type=CallDeduplicator):
+class DeduplicationSetup:
+    """Two deduplicators, as in two entries, on one store; counts executed calls."""
+
+    def __init__(self, deduplicator_type=CallDeduplicator):
         self.application = make_application()
         port = listen(self.application, "127.0.0.1", 0)
         self.faults = self.application.faults
-        self.guards = [
-            guard_type(StoreClient(f"127.0.0.1:{port}"), parts=2) for _ in range(2)
+        self.deduplicators = [
+            deduplicator_type(StoreClient(f"127.0.0.1:{port}"), parts=2)
+            for _ in range(2)
         ]
         self.runs = 0
 
@@ -32,111 +35,138 @@
             self.runs += 1
             return Response(200, b"done")
 
-        return await self.guards[entry].run(ACCOUNT, key, work)
+        return await self.deduplicators[entry].run(ACCOUNT, key, work)
 
-    async def refuse(self, entry, **options):
+    async def attempt_rejected(self, entry, **options):
         with pytest.raises(BuckthornstileError) as caught:
             await self.attempt(entry, **options)
         return caught.value
 
 
-def play(scenario, **options):
+def run_scenario(scenario, **options):
     async def run():
-        world = World(**options)
-        await scenario(world)
-        return world
+        setup = DeduplicationSetup(**options)
+        await scenario(setup)
+        return setup
 
     return asyncio.run(run())
 
 
-def test_the_same_entry_gives_the_first_answer_again():
-    async def scenario(world):
+def test_same_entry_returns_cached_response_to_retry():
+    """Guards against a second run when a retry arrives during or after the first."""
+
+    async def scenario(setup):
         first, second = await asyncio.gather(
-            world.attempt(0, seconds=0.1), world.attempt(0)
+            setup.attempt(0, seconds=0.1), setup.attempt(0)
         )
         assert first.body == second.body == b"done"
-        assert (await world.attempt(0)).body == b"done"
+        assert (await setup.attempt(0)).body == b"done"
+
+    assert run_scenario(scenario).runs == 1
 
-    assert play(scenario).runs == 1
 
+def test_other_entry_rejects_call_that_ran():
+    """Guards against a second run when a retry reaches another entry."""
 
-def test_another_entry_refuses_a_call_that_ran():
-    async def scenario(world):
-        await world.attempt(0)
-        error = await world.refuse(1)
+    async def scenario(setup):
+        await setup.attempt(0)
+        error = await setup.attempt_rejected(1)
         assert error.code is ErrorCode.DUPLICATE_IN_FLIGHT
         assert error.verdict is Verdict.MAY_HAVE_RUN
 
-    assert play(scenario).runs == 1
+    assert run_scenario(scenario).runs == 1
 
 
-def test_a_call_that_did_not_run_may_run_elsewhere():
+def test_call_that_was_not_run_may_run_at_other_entry():
+    """Guards against a claim that stays after a run that failed with NOT_RUN."""
+
     not_run = BuckthornstileError(ErrorCode.NO_UPSTREAM)
 
-    async def scenario(world):
+    async def scenario(setup):
         for entry in (0, 1, 0):
-            assert await world.refuse(entry, error=not_run) is not_run
-        assert (await world.attempt(1)).body == b"done"
-        assert (await world.refuse(0)).verdict is Verdict.MAY_HAVE_RUN
+            assert await setup.attempt_rejected(entry, error=not_run) is not_run
+        assert (await setup.attempt(1)).body == b"done"
+        assert (await setup.attempt_rejected(0)).verdict is Verdict.MAY_HAVE_RUN
+
+    assert run_scenario(scenario).runs == 1
 
-    assert play(scenario).runs == 1
 
+def test_call_that_may_have_run_is_not_run_again():
+    """Guards against a second run after the connection to the upstream was lost."""
 
-def test_a_call_that_may_have_run_runs_no_more():
     lost = BuckthornstileError(ErrorCode.UPSTREAM_FAILED, verdict=Verdict.MAY_HAVE_RUN)
 
-    async def scenario(world):
-        assert await world.refuse(0, error=lost) is lost
-        assert await world.refuse(0) is lost
-        assert (await world.refuse(1)).verdict is Verdict.MAY_HAVE_RUN
+    async def scenario(setup):
+        assert await setup.attempt_rejected(0, error=lost) is lost
+        assert await setup.attempt_rejected(0) is lost
+        assert (await setup.attempt_rejected(1)).verdict is Verdict.MAY_HAVE_RUN
 
-    assert play(scenario).runs == 0
+    assert run_scenario(scenario).runs == 0
 
 
 @pytest.mark.parametrize("entries", [(0, 1), (1, 0)])
-def test_two_entries_at_once_run_it_once(entries):
-    async def scenario(world):
+def test_concurrent_attempts_at_two_entries_run_once(entries):
+    """Guards against two runs when two entries claim the same call concurrently."""
+
+    async def scenario(setup):
         outcomes = await asyncio.gather(
-            *[world.attempt(entry, seconds=0.05) for entry in entries],
+            *[setup.attempt(entry, seconds=0.05) for entry in entries],
             return_exceptions=True,
         )
-        errors = [one for one in outcomes if isinstance(one, BuckthornstileError)]
+        errors = [
+            outcome for outcome in outcomes if isinstance(outcome, BuckthornstileError)
+        ]
         assert len(errors) == 1
 
-    assert play(scenario).runs == 1
+    assert run_scenario(scenario).runs == 1
+
+
+def test_append_is_retried_after_lost_store_response():
+    """Guards against rejecting a call whose claim was stored without a response."""
 
+    async def scenario(setup):
+        setup.faults.add({"kind": "lose_answer", "target": "append", "count": 2})
+        assert (await setup.attempt(0)).body == b"done"
+        assert (await setup.attempt_rejected(1)).verdict is Verdict.MAY_HAVE_RUN
 
-def test_a_lost_answer_of_the_store_is_asked_again():
-    async def scenario(world):
-        world.faults.add({"kind": "lose_answer", "target": "append", "count": 2})
-        assert (await world.attempt(0)).body == b"done"
-        assert (await world.refuse(1)).verdict is Verdict.MAY_HAVE_RUN
+    assert run_scenario(scenario).runs == 1
 
-    assert play(scenario).runs == 1
 
+def test_unavailable_store_rejects_call_with_unknown_outcome():
+    """Guards against running a call that cannot be claimed.
 
-def test_without_the_store_nothing_runs_and_nothing_is_promised():
-    async def scenario(world):
-        world.faults.add({"kind": "busy", "target": "append"})
-        error = await world.refuse(0)
+    A call with a generated key needs no claim and still runs.
+    """
+
+    async def scenario(setup):
+        setup.faults.add({"kind": "busy", "target": "append"})
+        error = await setup.attempt_rejected(0)
         assert error.code is ErrorCode.PLATFORM_UNAVAILABLE
         assert error.verdict is Verdict.MAY_HAVE_RUN
-        assert (await world.attempt(0, key="auto-1")).body == b"done"
+        assert (await setup.attempt(0, key="auto-1")).body == b"done"
 
-    assert play(scenario).runs == 1
+    assert run_scenario(scenario).runs == 1
 
 
-class TrustsTheStoresAnswer(CallDeduplicator):
-    """Takes an acknowledged append for a claim of its own."""
+class UnverifiedClaimDeduplicator(CallDeduplicator):
+    """Treats every acknowledged append as a successful claim."""
 
-    async def claim(self, name):
-        await self._append(name, 0, b"mine")
+    async def claim(self, digest):
+        await self._append(digest, 0, b"mine")
         return 0
 
 
-def test_without_reading_the_claim_a_call_would_run_twice():
-    async def scenario(world):
-        await world.attempt(0)
-        await world.attempt(1)
+def test_unverified_claim_runs_call_twice():
+    """Shows that the claim must be read back.
+
+    The store acknowledges a duplicate append, so both entries believe that they own
+    the call.
+    """
+
+    async def scenario(setup):
+        await setup.attempt(0)
+        await setup.attempt(1)
 
-    assert play(scenario, guard_type=TrustsTheStoresAnswer).runs == 2
+    assert (
+        run_scenario(scenario, deduplicator_type=UnverifiedClaimDeduplicator).runs == 2
+    )
