--- a/buckthornstile/api/_configuration.py
+++ b/buckthornstile/api/_configuration.py
@@ -32,7 +32,7 @@
 MAX_POLL_WAIT = 0.4
 """Seconds of a long poll; bounds how long a stale configuration goes unnoticed."""
 MAX_ATTEMPTS = 3
-"""Number of upstreams that may run an idempotent call, or fail to make one sample."""
+"""Maximum number of upstreams that one idempotent call or sample is sent to."""
 MAX_TIMEOUT = 86_400.0
 """Seconds of a route's timeout; the timeout of each call is the effective limit."""
 
@@ -113,7 +113,7 @@
         )
 
     def is_withdrawn(self, key: KeyId) -> bool:
-        """Whether work under a key must stop: it is not known to be valid."""
+        """Whether work under a key must stop because the key may not be valid."""
         known = self.current.keys.get(key)
         return not self.is_fresh() or known is None or known.withdrawn
 
--- a/buckthornstile/api/_dependencies.py
+++ b/buckthornstile/api/_dependencies.py
@@ -27,7 +27,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ApiDependencies:
-    """Objects and functions that the API handlers share."""
+    """Objects and functions that the API handlers share.
+
+    Args:
+        settings: The settings of the entry.
+        view: The topology view.
+        configuration_watcher: The current configuration and trainers' versions.
+        sender: Sends calls to upstreams.
+        stream_proxy: Opens streams at upstreams.
+        jobs: The jobs in the store.
+        admission: The concurrency limits of the services.
+        revocation: Cancels work under revoked keys.
+        deduplicator: Runs calls with an idempotency key at most once.
+        metrics: The metrics of the entry.
+        clock: A function that returns the monotonic time in seconds.
+        wall_clock: A function that returns the time in seconds since the epoch.
+        choose_first_owner: A function that returns the entry that runs a new job.
+        is_stopping: A function that returns whether the entry was asked to stop.
+    """
 
     settings: EntrySettings
     view: TopologyView
@@ -164,7 +181,7 @@
 def find_key_error(
     watcher: ConfigurationWatcher, key: KeyId
 ) -> BuckthornstileError | None:
-    """Returns the error to stop running work under a key with, or None if valid."""
+    """Returns the error with which work under a key must stop, or None."""
     known = watcher.current.keys.get(key)
     if known is None or known.withdrawn:
         return make_revocation_error(
--- a/buckthornstile/api/_operator_handlers.py
+++ b/buckthornstile/api/_operator_handlers.py
@@ -37,7 +37,14 @@
 
 
 class OperatorHandlers:
-    """Handles the requests of operators, none of which needs an API key."""
+    """Handles the requests of operators, none of which needs an API key.
+
+    Args:
+        dependencies: The shared dependencies of the handlers.
+        event_log: The log handler that holds the recent event lines.
+        get_state: A function that returns the state of the entry.
+        render_metrics: A function that returns the metrics in text format.
+    """
 
     def __init__(
         self,
--- a/buckthornstile/api/_requests.py
+++ b/buckthornstile/api/_requests.py
@@ -132,7 +132,7 @@
     if len(key) > MAX_IDEMPOTENCY_KEY_LENGTH or not key.isprintable():
         raise BuckthornstileError(
             ErrorCode.HEADER_INVALID,
-            f"{IDEMPOTENCY_HEADER} must hold at most {MAX_IDEMPOTENCY_KEY_LENGTH} "
+            f"{IDEMPOTENCY_HEADER} must have at most {MAX_IDEMPOTENCY_KEY_LENGTH} "
             f"printable characters",
         )
 
