--- a/buckthornstile/platform/__init__.py
+++ b/buckthornstile/platform/__init__.py
@@ -1,6 +1,7 @@
-"""All that knows the platform's names, formats and calls.
+"""Adapter to the platform: its names, formats and calls.
 
-It translates between them and the product's own types, and decides nothing.
+This package translates between the platform's formats and this project's own types. It
+makes no decisions.
 """
 
 from buckthornstile.platform._duties import DutyClient
--- a/buckthornstile/platform/_duties.py
+++ b/buckthornstile/platform/_duties.py
@@ -1,4 +1,4 @@
-"""Calls to the platform that only the holder of a duty may make."""
+"""Requests to the platform that only the holder of a duty may send."""
 
 import asyncio
 import json
@@ -6,14 +6,14 @@
 
 from buckthornstile.base import BuckthornstileError, PlatformUnavailableError
 from buckthornstile.http_client import ConnectionPool, HTTPRequest
-from buckthornstile.platform._protocol_names import DUTY_HOLDER, DUTY_TERM
+from buckthornstile.platform._protocol_names import DUTY_HOLDER_HEADER, DUTY_TERM_HEADER
 
 
 class DutyClient:
-    """Reports to the platform in the name of the duty's holder.
+    """Sends reports to the platform on behalf of a duty's holder.
 
     Args:
-        address: Where the platform takes such calls, as ``IP:port``.
+        address: Address at which the platform accepts them, as ``IP:port``.
 
     Example:
         >>> DutyClient("127.0.0.1:1").address
@@ -33,26 +33,33 @@
         term: int,
         timeout: float,
     ) -> None:
-        """Reports the requests of each account in a window.
+        """Reports how many requests each client account sent in a usage window.
+
+        Args:
+            window: Number of the usage window.
+            counts: Number of requests of each client account.
+            holder: The duty's holder.
+            term: The holder's term, by which the platform refuses earlier holders.
+            timeout: Seconds to wait for the response.
 
         Raises:
-            PlatformUnavailableError: It was refused or got no answer.
+            PlatformUnavailableError: The report was refused or got no response.
         """
         body = json.dumps({"window": window, "counts": dict(counts)}).encode()
         headers = [
             ("Host", self.address),
             ("Content-Type", "application/json"),
-            (DUTY_HOLDER, holder),
-            (DUTY_TERM, str(term)),
+            (DUTY_HOLDER_HEADER, holder),
+            (DUTY_TERM_HEADER, str(term)),
         ]
         request = HTTPRequest("POST", "/usage", headers, body)
         try:
             async with asyncio.timeout(timeout):
-                answer = await self._pool.send(self.address, request)
+                response = await self._pool.send(self.address, request)
         except (TimeoutError, BuckthornstileError) as error:
-            raise PlatformUnavailableError(f"usage report: {error}") from error
-        if answer.status != 200:
+            raise PlatformUnavailableError(f"usage report failed: {error}") from error
+        if response.status != 200:
             raise PlatformUnavailableError(
-                f"usage report: status {answer.status}",
-                may_have_taken_effect=answer.status not in (429, 503),
+                f"usage report failed: status {response.status}",
+                may_have_taken_effect=response.status not in (429, 503),
             )
--- a/buckthornstile/platform/_jobs.py
+++ b/buckthornstile/platform/_jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs as clients send and read them."""
+"""Decodes the batch jobs that clients submit, and encodes the results they read."""
 
 import base64
 import json
@@ -15,14 +15,15 @@
 )
 from buckthornstile.platform._protocol_names import (
     CONNECTION_HEADERS,
-    EXPECTED_TOKENS,
-    OWN_HEADERS,
+    EXPECTED_TOKENS_HEADER,
+    INTERNAL_HEADERS,
 )
 from buckthornstile.topology import ModelName, Route
 
 MAX_ID_LENGTH = 64
 MAX_RESULT_BYTES = 1_000_000
-NOT_FORWARDED = CONNECTION_HEADERS | OWN_HEADERS | {"host", "request-id"}
+"""Size of the results in one response, in bytes; one larger result is sent alone."""
+UNFORWARDED_HEADERS = CONNECTION_HEADERS | INTERNAL_HEADERS | {"host", "request-id"}
 
 
 def decode_job(
@@ -31,13 +32,16 @@
     """Decodes and checks a submitted batch job.
 
     Raises:
-        BuckthornstileError: It is malformed; the message names the field.
+        BuckthornstileError: The job is malformed; the message names the fault.
     """
-    if not _is_id(job_id):
-        raise _make_error(f"the job's id has {len(job_id)} characters or holds a slash")
+    if not _is_valid_id(job_id):
+        raise _make_error(
+            f"the job's id is empty, too long ({len(job_id)} characters), not "
+            "printable or contains a slash"
+        )
     try:
         data = json.loads(body)
-        items = tuple(_decode_item(one, route) for one in data["items"])
+        items = tuple(_decode_item(item, route) for item in data["items"])
         model = data.get("model")
         specification = JobSpecification(
             id=JobId(job_id),
@@ -48,7 +52,7 @@
             items=items,
             model=ModelName(model) if model else None,
             minimum_version=int(data.get("minVersion") or 0),
-            # The name says "count"; it counts whole groups, not items.
+            # Despite its name, "desiredCount" counts whole groups, not items.
             wanted_groups=int(data.get("desiredCount") or 0),
             step=int(data.get("step", -1)),
         )
@@ -61,14 +65,17 @@
 
 def _decode_item(data: dict, route: Route) -> JobItem:
     name = data["id"]
-    if not _is_id(name):
-        raise ValueError(f"item id {str(name)[:MAX_ID_LENGTH]!r} is not allowed")
+    if not _is_valid_id(name):
+        raise ValueError(
+            f"item id {str(name)[:MAX_ID_LENGTH]!r} is empty, too long, not "
+            "printable or contains a slash"
+        )
     if not data["path"].startswith(route.path_prefix):
-        raise ValueError(f"item {name!r} has a path outside its route")
+        raise ValueError(f"the path of item {name!r} is outside the job's route")
     headers = tuple(
         (header, str(value))
         for header, value in (data.get("headers") or {}).items()
-        if header.lower() not in NOT_FORWARDED
+        if header.lower() not in UNFORWARDED_HEADERS
     )
     scorer = data.get("scorer")
     call = None
@@ -87,41 +94,53 @@
         tokens=int(data.get("tokens") or 0),
         group=str(data.get("group") or ""),
         score_call=call,
-        expected_tokens=_read_expected_tokens(headers),
+        expected_tokens=_parse_expected_tokens(headers),
     )
 
 
-def encode_results(results: Sequence[ItemResult], total: int, start: int) -> bytes:
-    """Renders a job's results from a position on, bounded in bytes."""
-    rendered: list[dict[str, object]] = []
-    room = MAX_RESULT_BYTES
-    for result in results[start:]:
-        room -= len(result.text.encode()) + 300
-        if rendered and room < 0:
+def encode_results(
+    results: Sequence[ItemResult], total: int, first_index: int
+) -> bytes:
+    """Encodes a page of a job's results.
+
+    Args:
+        results: All results so far, in the order in which clients read them.
+        total: Number of items of the job.
+        first_index: Index of the page's first result.
+
+    Returns:
+        The page as JSON, with the index of the next page's first result.
+    """
+    encoded: list[dict[str, object]] = []
+    remaining_bytes = MAX_RESULT_BYTES
+    for result in results[first_index:]:
+        # The other fields of a result are taken to need at most 300 bytes.
+        remaining_bytes -= len(result.text.encode()) + 300
+        if encoded and remaining_bytes < 0:
             break
-        one: dict[str, object] = {
+        encoded_result: dict[str, object] = {
             "id": result.item,
             "state": result.state.value,
             "text": result.text,
         }
         if result.versions:
-            one["versions"] = list(result.versions)
+            encoded_result["versions"] = list(result.versions)
         if result.score:
-            one["score"] = result.score
-        rendered.append(one)
-    # The name says "token"; it is the next position.
-    data = {"total": total, "results": rendered, "nextToken": start + len(rendered)}
+            encoded_result["score"] = result.score
+        encoded.append(encoded_result)
+    # Despite its name, "nextToken" is an index: that of the next page's first result.
+    data = {"total": total, "results": encoded, "nextToken": first_index + len(encoded)}
     return json.dumps(data).encode()
 
 
-def _read_expected_tokens(headers: Sequence[tuple[str, str]]) -> int:
+def _parse_expected_tokens(headers: Sequence[tuple[str, str]]) -> int:
     for name, value in headers:
-        if name.lower() == EXPECTED_TOKENS.lower() and value.isdigit():
+        if name.lower() == EXPECTED_TOKENS_HEADER.lower() and value.isdigit():
             return int(value)
     return 0
 
 
-def _is_id(value: object) -> bool:
+def _is_valid_id(value: object) -> bool:
     return (
         isinstance(value, str)
         and 0 < len(value) <= MAX_ID_LENGTH
--- a/buckthornstile/platform/_node_settings.py
+++ b/buckthornstile/platform/_node_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file of one process."""
+"""Reads the settings file that the platform writes for each process."""
 
 import json
 import os
@@ -9,45 +9,47 @@
 from buckthornstile.settings import EntrySettings, load_settings
 
 SETTINGS_VARIABLE = "BUCKTHORNSTILE_CONFIG"
+"""Environment variable that holds the path of the settings file."""
 
 
 def read_node_settings(path: str | None = None) -> EntrySettings:
     """Reads and checks the settings file.
 
     Args:
-        path: The file, or None for the one that the environment names.
+        path: Path of the file, or None for the path in ``SETTINGS_VARIABLE``.
 
     Returns:
         The settings.
 
     Raises:
-        BuckthornstileError: The file is missing, is no JSON, lacks a field or holds
-            one out of its range.
+        BuckthornstileError: The file is missing or not valid JSON, or a field is
+            missing or out of range.
     """
-    name = path or os.environ.get(SETTINGS_VARIABLE, "")
+    file_name = path or os.environ.get(SETTINGS_VARIABLE, "")
     try:
-        return decode_node_settings(json.loads(Path(name).read_text()))
+        return decode_node_settings(json.loads(Path(file_name).read_text()))
     except BuckthornstileError as error:
         reason = error.message
     except (OSError, ValueError, KeyError, TypeError, AttributeError) as error:
         reason = f"{type(error).__name__}: {error}"
     raise BuckthornstileError(
-        ErrorCode.SETTING_INVALID, f"settings file {name!r} cannot be used: {reason}"
+        ErrorCode.SETTING_INVALID,
+        f"settings file {file_name!r} cannot be used: {reason}",
     )
 
 
 def decode_node_settings(data: dict[str, Any]) -> EntrySettings:
-    """Translates the file's content; unknown fields are left out.
+    """Translates the file's content to settings; unknown fields are ignored.
 
-    Metrics are served on the first of the ports between processes, and requests that
-    other entries pass on on the second.
+    The first internal port serves metrics. The second accepts the requests that other
+    entries forward.
     """
     bounds = data.get("bounds") or {}
     listen = data.get("listen") or {}
     store = data["platform"]
     cloud = data.get("cloud") or {}
     host = data.get("ip", "127.0.0.1")
-    # The first and the last of a range.
+    # The first and the last port of a range.
     ports = data.get("internalPorts") or [0]
     return load_settings(
         EntrySettings,
@@ -70,7 +72,7 @@
             "turn_bound": bounds.get("leaseMs", 3000) / 1000,
             "usage_window": bounds.get("usageWindowS", 5),
             "usage_due": bounds.get("usageLateS", 10),
-            # The name says "status"; it is how long results must stay readable.
+            # Despite its name, "statusS" is how long results must stay readable.
             "result_lifetime": bounds.get("statusS", 120),
             "cold_overage": bounds.get("coldOverage", 1.0),
             "cold_slack": bounds.get("coldSlack", 0),
--- a/buckthornstile/platform/_protocol_names.py
+++ b/buckthornstile/platform/_protocol_names.py
@@ -1,33 +1,33 @@
-"""Names that the platform's protocol uses in headers, paths and keys."""
+"""Names of the headers, paths, topics and keys of the platform's protocol."""
 
-# Headers of requests
-REQUEST_ID = "Request-Id"
-DEADLINE = "Deadline-Ms"
-KEY = "Credential"
-ACCOUNT = "Tenant"
-EXPECTED_UPSTREAM = "Expect-Instance"
-EXPECTED_VERSION = "Expect-Version"
-URGENCY = "Request-Urgency"
-RESUME_AFTER = "Last-Event-Id"
-WAIT = "Wait-Ms"
-EXPECTED_TOKENS = "Length-Hint"
-MODEL = "Model"
-TOKENS = "Token-Counts"
-PREFIX = "Prompt-Prefix"
+# Request headers
+REQUEST_ID_HEADER = "Request-Id"
+DEADLINE_HEADER = "Deadline-Ms"
+API_KEY_HEADER = "Credential"
+ACCOUNT_HEADER = "Tenant"
+EXPECTED_UPSTREAM_HEADER = "Expect-Instance"
+EXPECTED_VERSION_HEADER = "Expect-Version"
+URGENCY_HEADER = "Request-Urgency"
+RESUME_AFTER_HEADER = "Last-Event-Id"
+WAIT_HEADER = "Wait-Ms"
+EXPECTED_TOKENS_HEADER = "Length-Hint"
+MODEL_HEADER = "Model"
+TOKEN_COUNTS_HEADER = "Token-Counts"
+PROMPT_PREFIX_HEADER = "Prompt-Prefix"
 
-# Headers of answers
-SIGNATURE = "Server-Stamp"
-NOT_RUN = "Not-Run"
-LOAD = "Server-Load"
-UPSTREAM_ID = "Instance-Id"
-VERSIONS = "Weight-Versions"
-RETRY_AFTER = "Retry-After"
+# Response headers
+SIGNATURE_HEADER = "Server-Stamp"
+NOT_RUN_HEADER = "Not-Run"
+LOAD_HEADER = "Server-Load"
+UPSTREAM_ID_HEADER = "Instance-Id"
+VERSIONS_HEADER = "Weight-Versions"
+RETRY_AFTER_HEADER = "Retry-After"
 
-# Headers of calls to the platform
-DUTY_HOLDER = "Duty-Holder"
-DUTY_TERM = "Fencing-Token"
+# Headers of requests to the platform
+DUTY_HOLDER_HEADER = "Duty-Holder"
+DUTY_TERM_HEADER = "Fencing-Token"
 
-# Headers that concern one connection, and those the system sets itself
+# Lower-case names of the headers that concern one connection and are not forwarded
 CONNECTION_HEADERS = frozenset(
     {
         "connection",
@@ -41,9 +41,18 @@
         "expect",
     }
 )
-OWN_HEADERS = frozenset(
+# Lower-case names of the headers that the system interprets and sets itself; values
+# from clients are not forwarded to upstreams
+INTERNAL_HEADERS = frozenset(
     name.lower()
-    for name in (KEY, ACCOUNT, DEADLINE, EXPECTED_UPSTREAM, EXPECTED_VERSION, URGENCY)
+    for name in (
+        API_KEY_HEADER,
+        ACCOUNT_HEADER,
+        DEADLINE_HEADER,
+        EXPECTED_UPSTREAM_HEADER,
+        EXPECTED_VERSION_HEADER,
+        URGENCY_HEADER,
+    )
 )
 
 READY_PATH = "/-/ready"
@@ -57,12 +66,13 @@
 JOB_TOPIC = "keyed.jobs"
 CONFIGURATION_TOPIC = "keyed.configuration"
 TRAINER_VERSION_TOPIC = "keyed.versions"
-"""Ours; the prefix makes the store keep the newest record of each key."""
+"""A topic of this project. The ``keyed.`` prefix makes the store retain the latest
+record of each key."""
 CONFIGURATION_KEY = "config"
 EVACUATION_PREFIX = "evacuate/"
 VERSION_PREFIX = "version/"
 
 
-def read_integer(value: str | None) -> int | None:
-    """Reads a header that holds a whole number; None if it holds none."""
+def parse_integer(value: str | None) -> int | None:
+    """Returns a header's value as a non-negative integer, or None if it is not one."""
     return int(value) if value and value.isdigit() else None
--- a/buckthornstile/platform/_requests.py
+++ b/buckthornstile/platform/_requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients and the answers that they get."""
+"""Decodes and encodes the requests of clients and the responses to them."""
 
 from enum import Enum
 
@@ -7,26 +7,26 @@
 from buckthornstile.http_client import HTTPRequest, HTTPResponse
 from buckthornstile.messages import ClientRequest, Headers, Response, StreamingResponse
 from buckthornstile.platform._protocol_names import (
+    API_KEY_HEADER,
     CONNECTION_HEADERS,
-    DEADLINE,
+    DEADLINE_HEADER,
+    INTERNAL_HEADERS,
     ITEM_PATH,
     JOB_PATH,
-    KEY,
-    OWN_HEADERS,
     READY_PATH,
-    REQUEST_ID,
-    RESUME_AFTER,
-    RETRY_AFTER,
-    WAIT,
-    read_integer,
+    REQUEST_ID_HEADER,
+    RESUME_AFTER_HEADER,
+    RETRY_AFTER_HEADER,
+    WAIT_HEADER,
+    parse_integer,
 )
 
 MAX_WAIT = 1.0
-"""Seconds that a read of results may ask to be held."""
+"""Longest wait, in seconds, that a client may request for a long poll of results."""
 
 
 class ResourceKind(Enum):
-    """What a request asks for."""
+    """Kind of resource that a request's path names."""
 
     READY = "ready"
     JOB = "job"
@@ -35,7 +35,7 @@
 
 
 def parse_path(path: str) -> tuple[ResourceKind, str]:
-    """Tells what a path asks for, and the id that it names."""
+    """Returns the kind of resource that a path names, and its id or an empty text."""
     if path == READY_PATH:
         return ResourceKind.READY, ""
     if path.startswith(JOB_PATH):
@@ -48,15 +48,15 @@
 def decode_request(
     method: str, target: str, headers: HTTPHeaders, body: bytes
 ) -> ClientRequest:
-    """Decodes a client's request; what the system sets itself is left out."""
-    named_by_connection = {
+    """Decodes a client's request; drops the headers that the system sets itself."""
+    connection_options = {
         name.strip().lower() for name in headers.get("Connection", "").split(",")
     }
-    left_out = CONNECTION_HEADERS | OWN_HEADERS | named_by_connection
-    left_out |= {"host", RESUME_AFTER.lower()}
+    dropped = CONNECTION_HEADERS | INTERNAL_HEADERS | connection_options
+    dropped |= {"host", RESUME_AFTER_HEADER.lower()}
     path, _, query = target.partition("?")
     return ClientRequest(
-        id=headers.get(REQUEST_ID, ""),
+        id=headers.get(REQUEST_ID_HEADER, ""),
         method=method,
         host=headers.get("Host", "").partition(":")[0].lower(),
         path=path,
@@ -64,51 +64,51 @@
         headers=tuple(
             (name, value)
             for name, value in headers.get_all()
-            if name.lower() not in left_out
+            if name.lower() not in dropped
         ),
         body=body,
-        key=headers.get(KEY),
-        remaining_time=_read_milliseconds(headers.get(DEADLINE)),
-        wait=min(MAX_WAIT, _read_milliseconds(headers.get(WAIT)) or 0.0),
-        last_event_id=read_integer(headers.get(RESUME_AFTER)),
+        key=headers.get(API_KEY_HEADER),
+        remaining_time=_parse_milliseconds(headers.get(DEADLINE_HEADER)),
+        wait=min(MAX_WAIT, _parse_milliseconds(headers.get(WAIT_HEADER)) or 0.0),
+        last_event_id=parse_integer(headers.get(RESUME_AFTER_HEADER)),
     )
 
 
 def encode_forwarded_request(request: ClientRequest) -> HTTPRequest:
-    """Encodes a client's request for another entry, which checks it anew."""
-    headers = [("Host", request.host), (REQUEST_ID, request.id)]
+    """Encodes a client's request for another entry, which repeats all checks."""
+    headers = [("Host", request.host), (REQUEST_ID_HEADER, request.id)]
     if request.key is not None:
-        headers.append((KEY, request.key))
+        headers.append((API_KEY_HEADER, request.key))
     if request.wait:
-        headers.append((WAIT, str(int(request.wait * 1000))))
+        headers.append((WAIT_HEADER, str(int(request.wait * 1000))))
     return HTTPRequest(request.method, request.target, headers, request.body or None)
 
 
-def decode_forwarded_response(answer: HTTPResponse) -> Response:
-    """Decodes what another entry answered a client's request."""
-    kept = ("content-type", RETRY_AFTER.lower())
+def decode_forwarded_response(response: HTTPResponse) -> Response:
+    """Decodes the response of another entry to a forwarded request."""
+    kept = ("content-type", RETRY_AFTER_HEADER.lower())
     headers = tuple(
         (name, value)
-        for name, value in answer.headers.get_all()
+        for name, value in response.headers.get_all()
         if name.lower() in kept
     )
-    return Response(answer.status, bytes(answer.body), headers)
+    return Response(response.status, bytes(response.body), headers)
 
 
 def encode_response(
-    request: ClientRequest, reply: Response | StreamingResponse
+    request: ClientRequest, response: Response | StreamingResponse
 ) -> Headers:
-    """Gives the headers of an answer, without those of the connection."""
-    headers = list(reply.headers)
+    """Returns a response's headers, without those that apply to the connection."""
+    headers = list(response.headers)
     names = {name.lower() for name, _ in headers}
-    if request.id and REQUEST_ID.lower() not in names:
-        headers.append((REQUEST_ID, request.id))
-    if reply.retry_after is not None:
-        headers.append((RETRY_AFTER, f"{reply.retry_after:.3f}"))
+    if request.id and REQUEST_ID_HEADER.lower() not in names:
+        headers.append((REQUEST_ID_HEADER, request.id))
+    if response.retry_after is not None:
+        headers.append((RETRY_AFTER_HEADER, f"{response.retry_after:.3f}"))
     return tuple(headers)
 
 
-def _read_milliseconds(value: str | None) -> float | None:
+def _parse_milliseconds(value: str | None) -> float | None:
     try:
         return max(0.0, float(value) / 1000) if value else None
     except ValueError:
--- a/buckthornstile/platform/_store.py
+++ b/buckthornstile/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store: a log of topics and partitions."""
+"""Client of the platform's store, a log of topics and partitions."""
 
 import asyncio
 import base64
@@ -17,25 +17,29 @@
 )
 from buckthornstile.http_client import ConnectionPool, HTTPRequest, HTTPResponse
 from buckthornstile.messages import ClientRequest
-from buckthornstile.platform._protocol_names import DEADLINE, OPERATOR_TOPIC
+from buckthornstile.platform._protocol_names import DEADLINE_HEADER, OPERATOR_TOPIC
 
-LENGTH = struct.Struct(">I")
-READ_HEAD = struct.Struct(">QQ")
+LENGTH_PREFIX = struct.Struct(">I")
+"""Number of bytes of the record that follows."""
+READ_HEADER = struct.Struct(">QQ")
+"""End offset of the partition, and the offset of the first record returned."""
 CALL_TIMEOUT = 1.0
-"""Seconds for a call that does not wait at the store."""
-READ_KILOBYTES = 1024
+"""Timeout in seconds of a call that the store does not hold as a long poll."""
+MAX_READ_KILOBYTES = 1024
+"""Upper bound, in kilobytes, that a read names for its response."""
 PROBE_TIMEOUT = 0.5
-"""Seconds for a call that only shows whether the store can be reached."""
+"""Timeout in seconds of a call that only tests whether the store is reachable."""
 UNAVAILABLE_STATUSES = (429, 503, 507)
-TURNED_AWAY_STATUSES = (429, 502, 503)
-"""Answers that show that this way to the store does not work now; 502 comes from a
-process that passed the call on and got no answer."""
-STORE_PATH = "/-/log-"
+"""Statuses with which the store refuses a call that then has no effect."""
+UNREACHABLE_STATUSES = (429, 502, 503)
+"""Statuses that show that the store cannot be reached on this path at present. Status
+502 comes from a proxy that forwarded the call and got no response."""
+STORE_PATH_PREFIX = "/-/log-"
 
 
 @dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """A record of a keyed topic; ``value`` is None where the key was dropped."""
+    """A record of a keyed topic; ``value`` is None if the record removes the key."""
 
     offset: int
     key: str
@@ -44,7 +48,13 @@
 
 @dataclass(slots=True)
 class LatestRecords:
-    """Pages of the newest records; ``end`` is that of the first page."""
+    """The latest record of each key, read page by page.
+
+    Attributes:
+        records: The records of the pages read so far.
+        end_offset: The partition's end offset at the first page, or -1 before it.
+        is_complete: Whether all pages were read.
+    """
 
     records: list[KeyedRecord] = field(default_factory=list)
     end_offset: int = -1
@@ -53,7 +63,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchResult:
-    """Records read from an offset on, and the partition's end."""
+    """Result of one read.
+
+    Attributes:
+        records: Pairs of offset and record.
+        end_offset: The partition's end offset.
+        next_offset: Offset at which the next read continues.
+    """
 
     records: tuple[tuple[int, bytes], ...]
     end_offset: int
@@ -61,24 +77,31 @@
 
 
 class OffsetOutOfRangeError(BuckthornstileError):
-    """The offset asked for is no longer kept."""
+    """The requested offset is older than the records that the store retains.
+
+    Args:
+        first_offset: The first offset that the store still holds.
+    """
 
     def __init__(self, first_offset: int) -> None:
-        super().__init__(ErrorCode.PLATFORM_UNAVAILABLE, "history was dropped")
+        super().__init__(
+            ErrorCode.PLATFORM_UNAVAILABLE, "the requested offset is no longer retained"
+        )
         self.first_offset = first_offset
 
 
 class AppendConflictError(BuckthornstileError):
-    """A condition of an append did not hold; nothing was written.
+    """A condition of an append did not hold, and no record was appended.
 
     Args:
         reason: ``end``, ``fenced`` or ``sequence``.
-        expected: The end or sequence number that the store has.
+        expected: The end offset or the sequence number that the store expects, or -1.
     """
 
     def __init__(self, reason: str, expected: int) -> None:
         super().__init__(
-            ErrorCode.CONFIGURATION_CONFLICT, f"append refused: {reason} {expected}"
+            ErrorCode.CONFIGURATION_CONFLICT,
+            f"append refused: {reason}; expected {expected}",
         )
         self.reason = reason
         self.expected = expected
@@ -86,7 +109,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Producer:
-    """Who appends to a partition: older epochs are refused, repeats are known."""
+    """Identifies a writer and its append, so that the store detects duplicates.
+
+    Attributes:
+        name: The writer's name.
+        epoch: The writer's epoch; the store refuses appends of older epochs.
+        sequence: Sequence number of the append within the epoch.
+    """
 
     name: str
     epoch: int
@@ -94,41 +123,42 @@
 
 
 class ProxySelector(Protocol):
-    """Chooses the way of each call, and learns what became of it.
+    """Selects the path of each call to the store, and records the call's outcome.
 
-    A way is the address of a process that passes calls on, or "" for the direct one.
+    A path is the address of a process that serves as a proxy, or "" for the direct
+    path.
     """
 
     def select_proxy(self) -> str:
-        """Gives the way of the next call."""
+        """Returns the address of the proxy to use, or "" for the direct path."""
 
-    def record_success(self, relay: str) -> None:
-        """Notes a call that the store answered."""
+    def record_success(self, proxy: str) -> None:
+        """Records a call that the store responded to."""
 
-    def record_failure(self, relay: str) -> None:
-        """Notes a call that the store did not take, or that had no answer."""
+    def record_failure(self, proxy: str) -> None:
+        """Records a call that the store did not accept or did not respond to."""
 
 
 class NoProxy:
-    """Makes every call the direct way."""
+    """Selects the direct path for every call."""
 
     def select_proxy(self) -> str:
-        """Gives the direct way."""
+        """Returns "", the direct path."""
         return ""
 
-    def record_success(self, relay: str) -> None:
-        """Takes no note."""
+    def record_success(self, proxy: str) -> None:
+        """Ignores the outcome."""
 
-    def record_failure(self, relay: str) -> None:
-        """Takes no note."""
+    def record_failure(self, proxy: str) -> None:
+        """Ignores the outcome."""
 
 
 class StoreClient:
-    """Calls to the store, each made once.
+    """Sends calls to the store, without retries.
 
     Args:
-        address: The store, as ``IP:port``.
-        proxy_selector: Chooses the way of each call; the direct one by default.
+        address: Address of the store, as ``IP:port``.
+        proxy_selector: Selects the path of each call; by default the direct one.
 
     Example:
         >>> StoreClient("127.0.0.1:1").address
@@ -152,22 +182,24 @@
         producer: Producer | None = None,
         timeout: float = CALL_TIMEOUT,
     ) -> int:
-        """Appends records, all or none.
+        """Appends all of the records or none.
 
         Args:
             topic: The topic.
-            part: Its partition.
+            part: Number of the partition.
             records: The records.
-            at: Append only if the partition ends at this offset.
-            producer: Who appends, to fence older ones and know repeats.
-            timeout: Seconds to wait.
+            at: End offset that the partition must have, or None for any.
+            producer: The writer and sequence number, which make the append idempotent
+                and fence writers of older epochs; None for neither.
+            timeout: Seconds to wait for the response.
 
         Returns:
             The offset of the first record.
 
         Raises:
-            AppendConflictError: A condition does not hold.
-            PlatformUnavailableError: It was refused or got no answer.
+            AppendConflictError: The end offset differs, the producer's epoch is too
+                old, or the sequence number is not the expected one.
+            PlatformUnavailableError: The call was refused or got no response.
         """
         query: dict[str, object] = {"topic": topic, "part": part}
         if at is not None:
@@ -176,96 +208,117 @@
             query["producer"] = producer.name
             query["epoch"] = producer.epoch
             query["sequence"] = producer.sequence
-        body = b"".join(LENGTH.pack(len(record)) + record for record in records)
+        body = b"".join(LENGTH_PREFIX.pack(len(record)) + record for record in records)
         path = "/-/log-append?" + urlencode(query)
-        answer = await self._call("POST", path, body, timeout)
-        if answer.status not in (409, 412):
-            _check_status(answer)
-        data = _decode_json(answer.body) if answer.body else {}
-        if answer.status == 412:
+        response = await self._call("POST", path, body, timeout)
+        if response.status not in (409, 412):
+            _check_status(response)
+        data = _decode_json(response.body) if response.body else {}
+        if response.status == 412:
             raise AppendConflictError("end", int(data.get("end", -1)))
-        if answer.status == 409:
+        if response.status == 409:
             if data.get("why") == "fenced":
                 raise AppendConflictError("fenced", -1)
-            raise AppendConflictError("sequence", _find_sequence(data))
+            raise AppendConflictError("sequence", _get_expected_sequence(data))
         return int(data["offset"])
 
     async def read(
         self,
         topic: str,
         part: int,
-        start: int,
+        start_offset: int,
         *,
         wait: float = 0.0,
         timeout: float = CALL_TIMEOUT,
     ) -> FetchResult:
-        """Reads records from an offset on; waits up to ``wait`` seconds for one.
+        """Reads the records from an offset on.
+
+        Args:
+            topic: The topic.
+            part: Number of the partition.
+            start_offset: Offset of the first record to read.
+            wait: Seconds for which the store holds the call until there is a record.
+            timeout: Seconds to wait for the response in addition to ``wait``.
 
         Raises:
-            OffsetOutOfRangeError: The offset is older than what is kept.
-            PlatformUnavailableError: It was refused or got no answer.
+            OffsetOutOfRangeError: The offset is older than the retained records.
+            PlatformUnavailableError: The call was refused or got no response.
         """
         query = {
             "topic": topic,
             "part": part,
-            "from": start,
-            "maxKb": READ_KILOBYTES,
+            "from": start_offset,
+            "maxKb": MAX_READ_KILOBYTES,
             "waitMs": int(wait * 1000),
         }
         path = "/-/log-read?" + urlencode(query)
-        answer = await self._call("GET", path, None, wait + timeout)
-        if answer.status == 410:
-            raise OffsetOutOfRangeError(int(_decode_json(answer.body).get("first", 0)))
-        _check_status(answer)
-        return _decode_slice(bytes(answer.body), start)
+        response = await self._call("GET", path, None, wait + timeout)
+        if response.status == 410:
+            raise OffsetOutOfRangeError(
+                int(_decode_json(response.body).get("first", 0))
+            )
+        _check_status(response)
+        return _decode_fetch_result(bytes(response.body), start_offset)
 
     async def read_latest(
         self, topic: str, part: int, *, timeout: float = CALL_TIMEOUT
     ) -> tuple[list[KeyedRecord], int]:
-        """Reads the newest record of each key, and the end before the first page.
+        """Reads the latest record of each key, page by page.
+
+        The pages are not a consistent snapshot: a read from the returned end offset
+        on repeats the records that were appended between them.
+
+        Returns:
+            The records, and the partition's end offset at the first page.
 
-        Pages are no snapshot: reading on from the returned end repeats what
-        changed between them.
+        Raises:
+            PlatformUnavailableError: A call was refused or got no response.
         """
-        loading = LatestRecords()
-        while not loading.is_complete:
-            await self.read_latest_page(topic, part, loading, timeout=timeout)
-        return loading.records, loading.end_offset
+        latest = LatestRecords()
+        while not latest.is_complete:
+            await self.read_latest_page(topic, part, latest, timeout=timeout)
+        return latest.records, latest.end_offset
 
     async def read_latest_page(
         self,
         topic: str,
         part: int,
-        pages: "LatestRecords",
+        latest: "LatestRecords",
         *,
         timeout: float = CALL_TIMEOUT,
     ) -> None:
-        """Reads the page after those that were read.
+        """Reads the next page of the latest records.
 
-        A page that fails may be asked for again; those before it stay.
+        A call that failed may be repeated; the pages read before it are kept.
+
+        Args:
+            topic: The topic.
+            part: Number of the partition.
+            latest: The pages read so far, to which the next one is added.
+            timeout: Seconds to wait for the response.
 
         Raises:
-            PlatformUnavailableError: It was refused or got no answer.
+            PlatformUnavailableError: The call was refused or got no response.
         """
         query: dict[str, object] = {"topic": topic, "part": part}
-        if pages.records:
-            query["after"] = pages.records[-1].key
+        if latest.records:
+            query["after"] = latest.records[-1].key
         path = "/-/log-newest?" + urlencode(query)
-        answer = await self._call("GET", path, None, timeout)
-        _check_status(answer)
-        data = _decode_json(answer.body)
-        if pages.end_offset < 0:
-            pages.end_offset = int(data["end"])
+        response = await self._call("GET", path, None, timeout)
+        _check_status(response)
+        data = _decode_json(response.body)
+        if latest.end_offset < 0:
+            latest.end_offset = int(data["end"])
         for item in data.get("items") or ():
             value = base64.b64decode(item["value"])
-            pages.records.append(KeyedRecord(item["offset"], item["key"], value))
-        pages.is_complete = not data.get("hasMore") or not pages.records
+            latest.records.append(KeyedRecord(item["offset"], item["key"], value))
+        latest.is_complete = not data.get("hasMore") or not latest.records
 
     async def forward(self, request: ClientRequest) -> HTTPResponse:
-        """Makes another process's call the direct way.
+        """Sends the call of another process to the store on the direct path.
 
         Raises:
-            PlatformUnavailableError: It got no answer.
+            PlatformUnavailableError: The call got no response.
         """
         timeout = request.remaining_time or CALL_TIMEOUT
         body = request.body if request.method == "POST" else None
@@ -274,10 +327,10 @@
         )
 
     async def probe(self) -> None:
-        """Makes a small call the direct way.
+        """Sends a small call to the store on the direct path.
 
         Raises:
-            PlatformUnavailableError: It got no answer.
+            PlatformUnavailableError: The call got no response.
         """
         query = {"topic": OPERATOR_TOPIC, "part": 0, "from": 0, "maxKb": 1}
         path = "/-/log-read?" + urlencode(query)
@@ -296,65 +349,65 @@
         *,
         is_direct: bool = False,
     ) -> HTTPResponse:
-        relay = "" if is_direct else self.proxy_selector.select_proxy()
-        address = relay or self.address
+        proxy = "" if is_direct else self.proxy_selector.select_proxy()
+        address = proxy or self.address
         headers = [("Host", self.address)]
-        if relay:
-            headers.append((DEADLINE, str(int(timeout * 1000))))
+        if proxy:
+            headers.append((DEADLINE_HEADER, str(int(timeout * 1000))))
         request = HTTPRequest(method, path, headers, body)
         try:
             async with asyncio.timeout(timeout):
-                answer = await self._pool.send(address, request)
+                response = await self._pool.send(address, request)
         except TimeoutError as error:
-            # Open connections may all have gone silent while new ones work.
+            # The idle connections may all be dead while a new one would work.
             self._pool.close_idle(address)
-            self.proxy_selector.record_failure(relay)
+            self.proxy_selector.record_failure(proxy)
             raise PlatformUnavailableError(
-                "the store gave no answer in time"
+                "the store did not respond in time"
             ) from error
         except BuckthornstileError as error:
-            self.proxy_selector.record_failure(relay)
+            self.proxy_selector.record_failure(proxy)
             raise PlatformUnavailableError(
-                f"the store: {error.message}",
+                f"call to the store failed: {error.message}",
                 may_have_taken_effect=error.verdict is not Verdict.NOT_RUN,
             ) from error
-        if answer.status in TURNED_AWAY_STATUSES:
-            self.proxy_selector.record_failure(relay)
+        if response.status in UNREACHABLE_STATUSES:
+            self.proxy_selector.record_failure(proxy)
         else:
-            self.proxy_selector.record_success(relay)
-        return answer
+            self.proxy_selector.record_success(proxy)
+        return response
 
 
 def is_store_call(path: str) -> bool:
-    """Whether a path is that of a call to the store.
+    """Whether a path belongs to a call to the store.
 
     Example:
         >>> is_store_call("/-/log-read")
         True
     """
-    return path.startswith(STORE_PATH)
+    return path.startswith(STORE_PATH_PREFIX)
 
 
 def encode_keyed_record(key: str, value: bytes) -> bytes:
-    """Encodes a record of a keyed topic; an empty value drops the key."""
-    name = key.encode()
-    return bytes([len(name)]) + name + value
+    """Encodes a record of a keyed topic; an empty value removes the key."""
+    encoded_key = key.encode()
+    return bytes([len(encoded_key)]) + encoded_key + value
 
 
 def decode_keyed_record(offset: int, record: bytes) -> KeyedRecord:
     """Decodes a record of a keyed topic.
 
     Raises:
-        ValueError: The bytes hold no key.
+        ValueError: The record holds no key.
     """
     if not record or len(record) < 1 + record[0]:
-        raise ValueError(f"the record at {offset} holds no key")
-    split = 1 + record[0]
-    value = record[split:]
-    return KeyedRecord(offset, record[1:split].decode(), value or None)
+        raise ValueError(f"the record at offset {offset} holds no key")
+    key_end = 1 + record[0]
+    value = record[key_end:]
+    return KeyedRecord(offset, record[1:key_end].decode(), value or None)
 
 
-def _find_sequence(data: dict[str, object]) -> int:
+def _get_expected_sequence(data: dict[str, object]) -> int:
     for name in ("sequence", "expected", "end"):
         value = data.get(name)
         if isinstance(value, int):
@@ -362,12 +415,12 @@
     return -1
 
 
-def _check_status(answer: HTTPResponse) -> None:
-    if answer.status == 200:
+def _check_status(response: HTTPResponse) -> None:
+    if response.status == 200:
         return
     raise PlatformUnavailableError(
-        f"the store answered with status {answer.status}",
-        may_have_taken_effect=answer.status not in UNAVAILABLE_STATUSES,
+        f"the store responded with status {response.status}",
+        may_have_taken_effect=response.status not in UNAVAILABLE_STATUSES,
     )
 
 
@@ -375,25 +428,29 @@
     try:
         data = json.loads(bytes(body))
     except ValueError as error:
-        raise PlatformUnavailableError("the store's answer is no JSON") from error
+        raise PlatformUnavailableError(
+            "the store's response is not valid JSON"
+        ) from error
     if not isinstance(data, dict):
-        raise PlatformUnavailableError("the store's answer is no object")
+        raise PlatformUnavailableError("the store's response is not a JSON object")
     return data
 
 
-def _decode_slice(data: bytes, start: int) -> FetchResult:
-    if len(data) < READ_HEAD.size:
-        raise PlatformUnavailableError("the store's answer is too short")
-    end, first = READ_HEAD.unpack_from(data)
+def _decode_fetch_result(data: bytes, start_offset: int) -> FetchResult:
+    if len(data) < READ_HEADER.size:
+        raise PlatformUnavailableError(
+            "the store's response is shorter than its header"
+        )
+    end_offset, first_offset = READ_HEADER.unpack_from(data)
     records = []
-    position = READ_HEAD.size
-    offset = max(start, first)
-    while position + LENGTH.size <= len(data):
-        (length,) = LENGTH.unpack_from(data, position)
-        position += LENGTH.size
+    position = READ_HEADER.size
+    offset = max(start_offset, first_offset)
+    while position + LENGTH_PREFIX.size <= len(data):
+        (length,) = LENGTH_PREFIX.unpack_from(data, position)
+        position += LENGTH_PREFIX.size
         if position + length > len(data):
-            raise PlatformUnavailableError("the store's answer holds half a record")
+            raise PlatformUnavailableError("the store's response ends within a record")
         records.append((offset, data[position : position + length]))
         position += length
         offset += 1
-    return FetchResult(tuple(records), end, offset)
+    return FetchResult(tuple(records), end_offset, offset)
--- a/buckthornstile/platform/_store_records.py
+++ b/buckthornstile/platform/_store_records.py
@@ -1,4 +1,4 @@
-"""What operators and upstreams write to the store, in the product's own types."""
+"""Decodes the records that operators, trainers and upstreams write to the store."""
 
 import json
 from typing import Any
@@ -21,15 +21,15 @@
     Upstream,
 )
 
-KINDS = {"safe": RouteKind.IDEMPOTENT, "rollout": RouteKind.ROLLOUT}
-READY, DRAINING = "ready", "draining"
+ROUTE_KINDS = {"safe": RouteKind.IDEMPOTENT, "rollout": RouteKind.ROLLOUT}
+READY_STATE, DRAINING_STATE = "ready", "draining"
 
 
 def decode_configuration(value: bytes) -> PlatformConfiguration:
-    """Decodes a whole configuration.
+    """Decodes a complete configuration.
 
     Raises:
-        ValueError: It does not have the agreed form.
+        ValueError: The record is malformed.
     """
     try:
         data = json.loads(value)
@@ -38,16 +38,16 @@
             version=int(data["version"]),
             routes=tuple(_decode_route(route) for route in data.get("routes") or ()),
             services={
-                ServiceName(one["name"]): _decode_service(one)
-                for one in data.get("services") or ()
+                ServiceName(item["name"]): _decode_service(item)
+                for item in data.get("services") or ()
             },
             accounts=tuple(
                 PlatformAccount(
-                    AccountId(one["name"]),
-                    tuple(one.get("apiKeys") or ()),
-                    one.get("priority"),
+                    AccountId(item["name"]),
+                    tuple(item.get("apiKeys") or ()),
+                    item.get("priority"),
                 )
-                for one in data.get("tenants") or ()
+                for item in data.get("tenants") or ()
             ),
             limits=ClientLimits(
                 max_header_bytes=int(limits.get("maxHeaderBytes", 16384)),
@@ -61,9 +61,10 @@
 
 
 def _decode_route(data: dict[str, Any]) -> Route:
-    split = data.get("trafficSplit") or ()
+    traffic_split = data.get("trafficSplit") or ()
     services = tuple(
-        (ServiceName(one["service"]), float(one.get("weight", 1))) for one in split
+        (ServiceName(item["service"]), float(item.get("weight", 1)))
+        for item in traffic_split
     )
     if not services and data.get("service"):
         services = ((ServiceName(data["service"]), 1.0),)
@@ -71,7 +72,7 @@
         name=data["name"],
         host=data["hostname"].lower(),
         path_prefix=data["pathPrefix"],
-        kind=KINDS.get(data.get("kind", ""), RouteKind.AT_MOST_ONCE),
+        kind=ROUTE_KINDS.get(data.get("kind", ""), RouteKind.AT_MOST_ONCE),
         services=services,
         timeout=data.get("timeoutMs", 10000) / 1000,
         target_latency=data.get("targetLatencyMs", 1000) / 1000,
@@ -94,15 +95,15 @@
         max_connections=int(data.get("maxConnections", 100)),
         cold_start=float(data.get("coldStartS", 0)),
         cold_rate=float(data.get("coldPerS", 0)),
-        models=tuple(ModelName(one["name"]) for one in models),
+        models=tuple(ModelName(item["name"]) for item in models),
     )
 
 
 def decode_named_version(value: bytes) -> tuple[ModelName, int]:
-    """Decodes the version that a trainer named for a model.
+    """Decodes the record in which a trainer names the version of a model.
 
     Raises:
-        ValueError: It does not have the agreed form.
+        ValueError: The record is malformed.
     """
     try:
         data = json.loads(value)
@@ -114,43 +115,44 @@
 def decode_upstream(
     upstream_id: str, value: bytes, services: set[ServiceName] | None = None
 ) -> Upstream:
-    """Decodes what an upstream says of itself.
+    """Decodes an upstream's record about itself.
 
-    The entry's ``sequence`` counts its own writes, not the orders that it took.
+    The record's ``sequence`` counts the records that the upstream has written, not the
+    orders that it has accepted.
 
     Args:
-        upstream_id: Its id, which only the record's key holds.
-        value: The entry.
-        services: The services that are configured, if known.
+        upstream_id: The upstream's id, which only the record's key holds.
+        value: The record.
+        services: The configured services, or None if they are not known.
 
     Raises:
-        ValueError: It comes from another writer or cannot be read.
+        ValueError: The record is malformed, or names an unknown state or service.
     """
     try:
         data = json.loads(value)
         state = data["state"]
         service, address, zone = data["service"], data["address"], data["zone"]
         host, _, port = address.rpartition(":")
-        cold, slots = data.get("coldRemainingMs", 0), data["slots"]
-        started_at_ms, beat = data.get("born", 0), data.get("sequence", 0)
+        cold_remaining_ms, slots = data.get("coldRemainingMs", 0), data["slots"]
+        started_at_ms, sequence = data.get("born", 0), data.get("sequence", 0)
         models = data.get("models") or ()
         versions = {
-            ModelName(one["name"]): WeightVersion(one["version"]) for one in models
+            ModelName(item["name"]): WeightVersion(item["version"]) for item in models
         }
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"upstream entry: {type(error).__name__}: {error}") from error
-    numbers = (cold, slots, started_at_ms, beat, *versions.values())
+        raise ValueError(f"upstream record: {type(error).__name__}: {error}") from error
+    numbers = (cold_remaining_ms, slots, started_at_ms, sequence, *versions.values())
     texts = (service, zone, host, *versions)
     if any(
-        isinstance(one, bool) or not isinstance(one, int | float) for one in numbers
+        isinstance(item, bool) or not isinstance(item, int | float) for item in numbers
     ):
-        raise ValueError("upstream entry: a number has another type")
-    if any(not isinstance(one, str) or not one for one in texts):
-        raise ValueError("upstream entry: a text has another type")
-    if state not in (READY, DRAINING):
-        raise ValueError(f"upstream entry: state {state!r} is not known")
+        raise ValueError("upstream record: a number field has another type")
+    if any(not isinstance(item, str) or not item for item in texts):
+        raise ValueError("upstream record: a text field is empty or has another type")
+    if state not in (READY_STATE, DRAINING_STATE):
+        raise ValueError(f"upstream record: unknown state {state!r}")
     if services is not None and service not in services:
-        raise ValueError(f"upstream entry: service {service!r} is not configured")
+        raise ValueError(f"upstream record: service {service!r} is not configured")
     return Upstream(
         id=UpstreamId(upstream_id),
         service=ServiceName(service),
@@ -158,9 +160,9 @@
         port=int(port),
         failure_domain=FailureDomain(zone),
         slots=int(slots),
-        is_draining=state == DRAINING,
-        cold_remaining=cold / 1000,
+        is_draining=state == DRAINING_STATE,
+        cold_remaining=cold_remaining_ms / 1000,
         started_at_ms=int(started_at_ms),
-        sequence=int(beat),
+        sequence=int(sequence),
         versions=versions,
     )
--- a/buckthornstile/platform/_upstreams.py
+++ b/buckthornstile/platform/_upstreams.py
@@ -1,4 +1,4 @@
-"""Calls and orders to upstreams, and their answers."""
+"""Encodes calls and orders to upstreams, and decodes their responses and streams."""
 
 import json
 
@@ -17,105 +17,113 @@
     UpstreamLoad,
 )
 from buckthornstile.platform._protocol_names import (
-    ACCOUNT,
+    ACCOUNT_HEADER,
     CONNECTION_HEADERS,
-    DEADLINE,
-    EXPECTED_TOKENS,
-    EXPECTED_UPSTREAM,
-    EXPECTED_VERSION,
-    LOAD,
-    MODEL,
-    NOT_RUN,
+    DEADLINE_HEADER,
+    EXPECTED_TOKENS_HEADER,
+    EXPECTED_UPSTREAM_HEADER,
+    EXPECTED_VERSION_HEADER,
+    LOAD_HEADER,
+    MODEL_HEADER,
+    NOT_RUN_HEADER,
     ORDER_PATH,
-    PREFIX,
+    PROMPT_PREFIX_HEADER,
     REPORT_PATH,
-    REQUEST_ID,
-    RESUME_AFTER,
-    SIGNATURE,
-    TOKENS,
-    UPSTREAM_ID,
-    URGENCY,
-    VERSIONS,
-    read_integer,
+    REQUEST_ID_HEADER,
+    RESUME_AFTER_HEADER,
+    SIGNATURE_HEADER,
+    TOKEN_COUNTS_HEADER,
+    UPSTREAM_ID_HEADER,
+    URGENCY_HEADER,
+    VERSIONS_HEADER,
+    parse_integer,
 )
 from buckthornstile.topology import ModelName
 
 OTHER_UPSTREAM_STATUS = 421
-MODES = {LoadMode.FINISH_FIRST: "wait", LoadMode.CONTINUE: "continue"}
-ORDER_ANSWERS = {
+"""Status with which an upstream refuses a call that is meant for another one."""
+LOAD_MODES = {LoadMode.FINISH_FIRST: "wait", LoadMode.CONTINUE: "continue"}
+"""The protocol's name of each load mode."""
+ORDER_RESULTS = {
     202: LoadOrderResult.ACCEPTED,
     200: LoadOrderResult.ALREADY_HOLDS,
     409: LoadOrderResult.CONFLICT,
     421: LoadOrderResult.OTHER_UPSTREAM,
 }
+"""Result of an order by the status of the response to it."""
 
 
 def encode_upstream_call(call: UpstreamCall) -> HTTPRequest:
-    """Encodes a call; only the upstream it is meant for will run it."""
+    """Encodes a call, with a header that makes any other upstream refuse it."""
     headers = [("Host", call.host)]
-    left_out = {REQUEST_ID.lower(), RESUME_AFTER.lower()}
-    headers += [one for one in call.headers if one[0].lower() not in left_out]
+    dropped = {REQUEST_ID_HEADER.lower(), RESUME_AFTER_HEADER.lower()}
+    headers += [header for header in call.headers if header[0].lower() not in dropped]
     headers += [
-        (REQUEST_ID, call.id),
-        (DEADLINE, str(max(1, int(call.remaining_time * 1000)))),
-        (EXPECTED_UPSTREAM, call.upstream),
+        (REQUEST_ID_HEADER, call.id),
+        (DEADLINE_HEADER, str(max(1, int(call.remaining_time * 1000)))),
+        (EXPECTED_UPSTREAM_HEADER, call.upstream),
     ]
     if call.account is not None:
-        headers.append((ACCOUNT, call.account))
+        headers.append((ACCOUNT_HEADER, call.account))
     if call.urgency is not None:
-        headers.append((URGENCY, str(call.urgency)))
+        headers.append((URGENCY_HEADER, str(call.urgency)))
     if call.last_event_id is not None:
-        headers.append((RESUME_AFTER, str(call.last_event_id)))
+        headers.append((RESUME_AFTER_HEADER, str(call.last_event_id)))
     if call.version is not None:
-        headers.append((EXPECTED_VERSION, str(call.version)))
+        headers.append((EXPECTED_VERSION_HEADER, str(call.version)))
     body = call.body if call.body or call.method not in ("GET", "HEAD") else None
     return HTTPRequest(
-        call.method, call.target, headers, body, echo_header=REQUEST_ID, echo=call.id
+        call.method,
+        call.target,
+        headers,
+        body,
+        echo_header=REQUEST_ID_HEADER,
+        echo=call.id,
     )
 
 
 def encode_generation(generation: GenerationHints) -> Headers:
-    """Encodes what a model engine is told of a request beside its body."""
-    parts = ",".join(f"{part.hash}:{part.tokens}" for part in generation.prefix)
+    """Encodes hints for the model engine as headers of a generation request."""
+    blocks = ",".join(f"{block.hash}:{block.tokens}" for block in generation.prefix)
     headers = [
-        (MODEL, generation.model),
-        (TOKENS, f"{generation.prompt_tokens},{generation.max_tokens}"),
-        (PREFIX, parts),
+        (MODEL_HEADER, generation.model),
+        (TOKEN_COUNTS_HEADER, f"{generation.prompt_tokens},{generation.max_tokens}"),
+        (PROMPT_PREFIX_HEADER, blocks),
     ]
     if generation.expected_tokens:
-        headers.append((EXPECTED_TOKENS, str(generation.expected_tokens)))
+        headers.append((EXPECTED_TOKENS_HEADER, str(generation.expected_tokens)))
     return tuple(headers)
 
 
-def decode_response_head(answer: HTTPResponse) -> ResponseHead:
-    """Decodes the head of an upstream's answer."""
-    headers = answer.headers
+def decode_response_head(response: HTTPResponse) -> ResponseHead:
+    """Decodes the status and the headers of an upstream's response."""
+    headers = response.headers
     kept = tuple(
         (name, value)
         for name, value in headers.get_all()
         if name.lower() not in CONNECTION_HEADERS
     )
-    is_other = answer.status == OTHER_UPSTREAM_STATUS
-    other = headers.get(UPSTREAM_ID) if is_other else None
+    is_other_upstream = response.status == OTHER_UPSTREAM_STATUS
+    other_upstream = headers.get(UPSTREAM_ID_HEADER) if is_other_upstream else None
     return ResponseHead(
-        status=answer.status,
+        status=response.status,
         headers=kept,
-        is_refusal=NOT_RUN in headers or is_other,
+        is_refusal=NOT_RUN_HEADER in headers or is_other_upstream,
         has_content_encoding="Content-Encoding" in headers,
-        signature=headers.get(SIGNATURE, ""),
-        load=_decode_load(headers.get(LOAD)),
-        version=read_integer(headers.get(VERSIONS)),
-        other_upstream=UpstreamId(other) if other else None,
+        signature=headers.get(SIGNATURE_HEADER, ""),
+        load=_decode_load(headers.get(LOAD_HEADER)),
+        version=parse_integer(headers.get(VERSIONS_HEADER)),
+        other_upstream=UpstreamId(other_upstream) if other_upstream else None,
     )
 
 
 def encode_order(order: LoadOrder) -> HTTPRequest:
-    """Encodes an order to load a version."""
+    """Encodes an order to load a version of a model's weights."""
     data = {
         "operation": "version",
         "model": order.model,
         "version": order.version,
-        "mode": MODES[order.mode],
+        "mode": LOAD_MODES[order.mode],
         "holder": order.holder,
         "fence": order.term,
         "precondition": order.expected_orders,
@@ -123,78 +131,80 @@
     headers = [
         ("Host", "upstream"),
         ("Content-Type", "application/json"),
-        (EXPECTED_UPSTREAM, order.upstream),
+        (EXPECTED_UPSTREAM_HEADER, order.upstream),
     ]
     return HTTPRequest("POST", ORDER_PATH, headers, json.dumps(data).encode())
 
 
-def decode_order_answer(answer: HTTPResponse) -> LoadOrderResult:
-    """Decodes what an upstream says to an order."""
-    return ORDER_ANSWERS.get(answer.status, LoadOrderResult.INVALID)
+def decode_order_answer(response: HTTPResponse) -> LoadOrderResult:
+    """Decodes an upstream's response to an order."""
+    return ORDER_RESULTS.get(response.status, LoadOrderResult.INVALID)
 
 
 def encode_report_request(upstream: UpstreamId) -> HTTPRequest:
-    """Encodes the question for an engine's own report."""
-    headers = [("Host", "upstream"), (EXPECTED_UPSTREAM, upstream)]
+    """Encodes a request for an engine's report of its state."""
+    headers = [("Host", "upstream"), (EXPECTED_UPSTREAM_HEADER, upstream)]
     return HTTPRequest("GET", REPORT_PATH, headers)
 
 
-def decode_report(answer: HTTPResponse) -> EngineReport:
+def decode_report(response: HTTPResponse) -> EngineReport:
     """Decodes an engine's report.
 
     Raises:
-        ValueError: It is no report.
+        ValueError: The status is not 200, or the report is malformed.
     """
-    if answer.status != 200:
-        raise ValueError(f"the report has status {answer.status}")
+    if response.status != 200:
+        raise ValueError(f"the report has status {response.status}")
     try:
-        data = json.loads(bytes(answer.body))
+        data = json.loads(bytes(response.body))
         versions = {
-            ModelName(one["name"]): int(one["version"]) for one in data["models"]
+            ModelName(model["name"]): int(model["version"]) for model in data["models"]
         }
-        # The name says "sequence"; it counts the orders accepted so far.
+        # Despite its name, "sequence" is the number of orders accepted so far.
         return EngineReport(versions, bool(data["busy"]), int(data["sequence"]))
     except (KeyError, TypeError) as error:
-        raise ValueError(f"the report lacks {error}") from error
+        raise ValueError(
+            f"the report lacks a field or has one of another type: {error}"
+        ) from error
 
 
 class UpstreamEventParser:
-    r"""Splits a stream into events as its bytes arrive.
+    r"""Parses a stream of events incrementally, as its bytes arrive.
 
     Args:
-        version: The version that the answer's head names.
+        version: Version of the first events, as the response's headers name it.
 
     Example:
-        >>> reader = UpstreamEventParser(3)
-        >>> events = reader.feed(b"id: 1\ndata: a\n\nweight-versions: 4\nid: 2")
-        >>> events += reader.feed(b"\ndata: b\n\n")
+        >>> parser = UpstreamEventParser(3)
+        >>> events = parser.feed(b"id: 1\ndata: a\n\nweight-versions: 4\nid: 2")
+        >>> events += parser.feed(b"\ndata: b\n\n")
         >>> [(event.id, event.data, event.version) for event, _ in events]
         [(1, 'a', 3), (2, 'b', 4)]
     """
 
     def __init__(self, version: int) -> None:
         self.version = version
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, chunk: bytes) -> list[tuple[StreamEvent, bytes]]:
-        """Reads the next bytes.
+        """Parses the next bytes.
 
         Returns:
-            The events that they complete, each with its own bytes.
+            The events that the bytes complete, each with its encoded form.
 
         Raises:
-            ValueError: They are no events.
+            ValueError: A block of the stream is not a valid event.
         """
-        blocks = (self._rest + chunk).split(b"\n\n")
-        self._rest = blocks.pop()
-        events = ((self._read_block(block), block) for block in blocks)
+        blocks = (self._buffer + chunk).split(b"\n\n")
+        self._buffer = blocks.pop()
+        events = ((self._parse_block(block), block) for block in blocks)
         return [(event, block) for event, block in events if event is not None]
 
     def is_between_events(self) -> bool:
-        """Whether no event is half read."""
-        return not self._rest.strip()
+        """Whether the bytes so far end at the end of an event."""
+        return not self._buffer.strip()
 
-    def _read_block(self, block: bytes) -> StreamEvent | None:
+    def _parse_block(self, block: bytes) -> StreamEvent | None:
         event_id: int | None = None
         data: list[str] = []
         for line in block.decode().split("\n"):
@@ -204,7 +214,7 @@
                 event_id = int(value)
             elif name == "data":
                 data.append(value)
-            elif name == VERSIONS.lower():
+            elif name == VERSIONS_HEADER.lower():
                 self.version = int(value)
         if event_id is None:
             return None
@@ -216,14 +226,14 @@
 
     Args:
         block: The event's bytes, as its upstream sent them.
-        version: The version that made it, if it differs from that of the event
-            before and the client must be told.
+        version: The version that produced the event, if it differs from that of the
+            event before and the client must learn of it; otherwise None.
 
     Example:
         >>> encode_event(b"id: 7\ndata: a", 4)
         b'weight-versions: 4\nid: 7\ndata: a\n\n'
     """
-    name = VERSIONS.lower().encode()
+    name = VERSIONS_HEADER.lower().encode()
     if version is not None and not block.startswith(name + b":"):
         block = b"%s: %d\n%s" % (name, version, block)
     return block + b"\n\n"
@@ -231,7 +241,7 @@
 
 def _decode_load(value: str | None) -> UpstreamLoad | None:
     try:
-        running, waiting, slots = (int(one) for one in (value or "").split(","))
+        running, waiting, slots = (int(number) for number in (value or "").split(","))
     except ValueError:
         return None
     return UpstreamLoad(running, waiting, slots)
--- a/buckthornstile/platform/tests/test_node_settings.py
+++ b/buckthornstile/platform/tests/test_node_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: what is taken, and errors that name it."""
+"""Tests of the platform's settings file: translation to settings, and errors."""
 
 import json
 
@@ -27,7 +27,7 @@
     return tmp_path / "node.json"
 
 
-def test_fields_are_translated(path) -> None:
+def test_fields_are_translated_to_settings(path) -> None:
     path.write_text(json.dumps(DATA))
     settings = read_node_settings(str(path))
     assert settings.process == "front-a-1"
@@ -37,19 +37,21 @@
     assert settings.store_parts == 12
 
 
-def test_role_that_serves_nobody_has_no_addresses(path) -> None:
+def test_process_without_listen_address_has_empty_client_address(path) -> None:
     path.write_text(json.dumps(DATA | {"listen": {}}))
     assert read_node_settings(str(path)).client_address == ""
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{}", "{", '{"node": "x", "zone": "z"}'])
-def test_unusable_file_is_named(path, text) -> None:
+def test_error_for_unusable_file_names_file(path, text) -> None:
     path.write_text(text)
     with pytest.raises(BuckthornstileError, match="node.json"):
         read_node_settings(str(path))
 
 
-def test_settings_check_shows_the_file(path, monkeypatch, capsys) -> None:
+def test_settings_check_prints_settings_or_names_missing_file(
+    path, monkeypatch, capsys
+) -> None:
     path.write_text(json.dumps(DATA))
     monkeypatch.setenv("BUCKTHORNSTILE_CONFIG", str(path))
     assert main(["settings", "check", "platform"]) == 0
@@ -59,7 +61,7 @@
     assert "/no/such/file" in capsys.readouterr().err
 
 
-def test_figure_out_of_range_is_named(path) -> None:
+def test_error_for_value_out_of_range_names_setting(path) -> None:
     path.write_text(json.dumps(DATA | {"bounds": {"revokeMs": -1}}))
     with pytest.raises(BuckthornstileError, match="key_bound"):
         read_node_settings(str(path))
--- a/buckthornstile/platform/tests/test_store.py
+++ b/buckthornstile/platform/tests/test_store.py
@@ -1,4 +1,7 @@
-"""The store's adapter against the stand-in: conditions, repeats, dropped history."""
+"""Tests of the store client against the stand-in store.
+
+They cover conditional appends, duplicates, failed calls and dropped history.
+"""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -21,7 +24,7 @@
 
 
 def run_with_store(test: Callable[[StoreClient, Any], Coroutine[Any, Any, None]]):
-    async def play() -> None:
+    async def run() -> None:
         application = make_application()
         sockets = bind_sockets(0, "127.0.0.1")
         server = HTTPServer(application)
@@ -34,10 +37,10 @@
             server.stop()
             await server.close_all_connections()
 
-    asyncio.run(play())
+    asyncio.run(run())
 
 
-def test_appended_records_are_read_back() -> None:
+def test_appended_records_can_be_read() -> None:
     async def test(store: StoreClient, _: Any) -> None:
         assert await store.append("t", 0, [b"a", b"", b"ccc"]) == 0
         assert await store.append("t", 0, [b"d"]) == 3
@@ -49,17 +52,17 @@
     run_with_store(test)
 
 
-def test_read_waits_for_a_record() -> None:
+def test_long_poll_returns_when_record_is_appended() -> None:
     async def test(store: StoreClient, _: Any) -> None:
-        reading = asyncio.create_task(store.read("t", 0, 0, wait=2.0))
+        read_task = asyncio.create_task(store.read("t", 0, 0, wait=2.0))
         await asyncio.sleep(0.1)
         await store.append("t", 0, [b"a"])
-        assert (await reading).records == ((0, b"a"),)
+        assert (await read_task).records == ((0, b"a"),)
 
     run_with_store(test)
 
 
-def test_condition_on_the_end() -> None:
+def test_append_at_other_end_offset_is_refused() -> None:
     async def test(store: StoreClient, _: Any) -> None:
         assert await store.append("t", 0, [b"a"], at=0) == 0
         with pytest.raises(AppendConflictError) as caught:
@@ -69,7 +72,7 @@
     run_with_store(test)
 
 
-def test_repeat_has_its_first_answer_and_older_epochs_are_refused() -> None:
+def test_duplicate_append_is_idempotent_and_older_epoch_is_refused() -> None:
     async def test(store: StoreClient, _: Any) -> None:
         first = await store.append("t", 0, [b"a"], producer=Producer("p", 1, 0))
         again = await store.append("t", 0, [b"x"], producer=Producer("p", 1, 0))
@@ -91,7 +94,7 @@
     ("kind", "may_have_taken_effect"),
     [("busy", False), ("many", False), ("reset", True), ("lose_answer", True)],
 )
-def test_failures_say_whether_they_may_have_taken_effect(
+def test_error_shows_whether_append_may_have_taken_effect(
     kind: str, may_have_taken_effect: bool
 ) -> None:
     async def test(store: StoreClient, application: Any) -> None:
@@ -103,7 +106,7 @@
     run_with_store(test)
 
 
-def test_refused_connection_had_no_effect() -> None:
+def test_append_on_refused_connection_has_no_effect() -> None:
     async def test(_: StoreClient, __: Any) -> None:
         with pytest.raises(PlatformUnavailableError) as caught:
             await StoreClient("127.0.0.1:1").append("t", 0, [b"a"])
@@ -112,7 +115,7 @@
     run_with_store(test)
 
 
-def test_silence_ends_with_the_timeout() -> None:
+def test_read_times_out_if_store_is_silent() -> None:
     async def test(store: StoreClient, application: Any) -> None:
         application.faults.add({"kind": "silent", "seconds": 5, "count": 1})
         with pytest.raises(PlatformUnavailableError):
@@ -121,15 +124,15 @@
     run_with_store(test)
 
 
-def test_newest_of_each_key_outlasts_history() -> None:
+def test_latest_record_of_each_key_remains_after_history_is_dropped() -> None:
     async def test(store: StoreClient, application: Any) -> None:
         records = [encode_keyed_record(f"k{n % 600:03}", b"%d" % n) for n in range(900)]
         await store.append("keyed.t", 0, records)
         await store.append("keyed.t", 0, [encode_keyed_record("k001", b"")])
         application.log.get("keyed.t", 0).drop_history()
-        newest, end = await store.read_latest("keyed.t", 0)
-        values = {record.key: record.value for record in newest}
-        assert end == 901
+        latest, end_offset = await store.read_latest("keyed.t", 0)
+        values = {record.key: record.value for record in latest}
+        assert end_offset == 901
         assert len(values) == 599
         assert values["k000"] == b"600"
         assert values["k599"] == b"599"
@@ -140,7 +143,7 @@
     run_with_store(test)
 
 
-def test_keyed_record_without_value_drops_its_key() -> None:
+def test_keyed_record_without_value_removes_key() -> None:
     record = decode_keyed_record(3, encode_keyed_record("k", b""))
     assert (record.key, record.value) == ("k", None)
     for data in (b"", b"\x05ab"):
