--- a/buckthornstile/logs/__init__.py
+++ b/buckthornstile/logs/__init__.py
@@ -1,4 +1,4 @@
-"""Log lines: one structured line for each decision."""
+"""Structured event log, with one JSON line for each event."""
 
 from buckthornstile.logs._event_log import (
     EventLogHandler,
--- a/buckthornstile/logs/_event_log.py
+++ b/buckthornstile/logs/_event_log.py
@@ -1,4 +1,4 @@
-"""One structured line for each decision, bounded and without blocking."""
+"""Writes events as JSON lines, at a bounded rate and without blocking."""
 
 import json
 import os
@@ -12,28 +12,31 @@
 from buckthornstile.base import ProcessName
 from buckthornstile.metrics import CounterName, Counters
 
-LINES_PER_SECOND = 150
-"""Lines a second that a process writes; further ones are counted only."""
-BURST_LINES = 600
+MAX_LINES_PER_SECOND = 150
+"""Rate limit of the log, in lines per second; lines beyond it are only counted."""
+MAX_BURST_LINES = 600
+"""Number of lines that may be written at once after a quiet period."""
 MAX_VALUE_LENGTH = 200
-RECENT_LINES = 1000
-"""Events that are kept for operators who ask the process itself."""
-EVENTS = CounterName("events")
-LEFT_OUT = CounterName("log_lines_left_out")
+"""Number of characters after which a field's text is cut off."""
+MAX_RECENT_EVENTS = 1000
+"""Number of latest events that a process keeps in memory for operators' queries."""
+EVENTS_COUNTER = CounterName("events")
+DROPPED_LINES_COUNTER = CounterName("log_lines_left_out")
 _LOGGER = logbook.Logger("buckthornstile.events")
 
 
 class EventLogHandler(logbook.Handler):
-    """Writes event lines to a descriptor and never waits for its reader.
+    """Writes events to a file descriptor, and never waits for its reader.
 
-    Each event is counted by its name. Lines beyond the rate, and those that a full
-    pipe does not take, are left out; the next line that is written says how many in
-    ``left_out``.
+    Every event is counted by its name. Lines beyond the rate limit are dropped, as are
+    lines that a full pipe does not accept. The field ``left_out`` of the next line that
+    is written holds the number of lines dropped before it.
 
     Args:
-        process: The name that each line carries.
-        descriptor: Where to write; it is set to not block.
-        clock: Gives the steady time in seconds.
+        process: Name of this process, which each line holds.
+        descriptor: File descriptor to write to, by default standard output; it is
+            set to non-blocking mode.
+        clock: Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -47,17 +50,17 @@
         self.process = process
         self.descriptor = sys.stdout.fileno() if descriptor is None else descriptor
         self.clock = clock
-        self.left_out = 0
+        self.dropped_count = 0
         self.counters = Counters()
-        self._recent: deque[dict[str, object]] = deque(maxlen=RECENT_LINES)
-        self._tokens = float(BURST_LINES)
-        self._filled_at = clock()
+        self._recent: deque[dict[str, object]] = deque(maxlen=MAX_RECENT_EVENTS)
+        self._tokens = float(MAX_BURST_LINES)
+        self._refilled_at = clock()
         os.set_blocking(self.descriptor, False)
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Counts the event and writes its line, or counts the line as left out."""
+        """Counts the event, and writes its line or counts the line as dropped."""
         event = record.extra["event"]
-        self.counters.increment(EVENTS, event=event)
+        self.counters.increment(EVENTS_COUNTER, event=event)
         fields: dict[str, object] = {
             "time": f"{time.time():.3f}",
             "process": self.process,
@@ -66,36 +69,37 @@
         }
         self._recent.append(fields)
         now = self.clock()
-        filled = self._tokens + (now - self._filled_at) * LINES_PER_SECOND
-        self._tokens = min(float(BURST_LINES), filled)
-        self._filled_at = now
+        refilled = self._tokens + (now - self._refilled_at) * MAX_LINES_PER_SECOND
+        self._tokens = min(float(MAX_BURST_LINES), refilled)
+        self._refilled_at = now
         if self._tokens < 1:
-            self._leave_out()
+            self._count_dropped_line()
             return
-        if self.left_out:
-            fields["left_out"] = self.left_out
+        if self.dropped_count:
+            fields["left_out"] = self.dropped_count
         line = json.dumps(fields, default=str, ensure_ascii=False) + "\n"
         try:
             written = os.write(self.descriptor, line.encode())
         except OSError:
-            self._leave_out()
+            self._count_dropped_line()
             return
         self._tokens -= 1
-        # A torn line would hide the next one: end it with that one's own start.
-        self.left_out = 0 if written == len(line.encode()) else 1
+        # A line that was written only in part counts as dropped. It has no line break,
+        # so that the next line continues it and cannot be parsed either.
+        self.dropped_count = 0 if written == len(line.encode()) else 1
 
     def list_recent(self, subject: str = "") -> list[dict[str, object]]:
-        """Lists the newest events, also those whose lines were left out.
+        """Returns the latest events, including those whose lines were dropped.
 
         Args:
-            subject: An id, process or code that they name, or an event's first
-                words; empty for all.
+            subject: A value of one of the event's fields, such as an id, a process or
+                an error code, or a prefix of the event's name; empty for all events.
         """
-        return [fields for fields in self._recent if _names(fields, subject)]
+        return [fields for fields in self._recent if _matches(fields, subject)]
 
     def count_events(self, subject: str = "") -> dict[str, int]:
-        """Counts all events by their names, which begin with the subject."""
-        counts = self.counters.items().get(EVENTS, {})
+        """Returns the number of events of each name that starts with the subject."""
+        counts = self.counters.items().get(EVENTS_COUNTER, {})
         found = {
             dict(labels).get("event", "other"): int(count)
             for labels, count in counts.items()
@@ -106,40 +110,40 @@
             if event.startswith(subject)
         }
 
-    def _leave_out(self) -> None:
-        self.left_out += 1
-        self.counters.increment(LEFT_OUT)
+    def _count_dropped_line(self) -> None:
+        self.dropped_count += 1
+        self.counters.increment(DROPPED_LINES_COUNTER)
 
 
-def _names(fields: dict[str, object], subject: str) -> bool:
+def _matches(fields: dict[str, object], subject: str) -> bool:
     if not subject or str(fields["event"]).startswith(subject):
         return True
     return any(subject in str(value).split(",") for value in fields.values())
 
 
 def log_event(event: str, **fields: object) -> None:
-    """Writes one line about a decision.
+    """Logs an event.
 
     Args:
-        event: What was decided, as a stable dotted name.
-        **fields: The request's id, the inputs with their age or version, and the
-            outcome; never a key.
+        event: The event's name, with a dot between its parts; names are stable.
+        **fields: The request's id, the inputs of the decision with their age or
+            version, and the outcome; never an API key.
 
     Example:
         >>> log_event("route.refused", request="9c41", reason="no upstream")
     """
-    shown = {name: _shorten(value) for name, value in fields.items()}
-    _LOGGER.debug("", extra={"event": event, "event_fields": shown})
+    truncated = {name: _truncate(value) for name, value in fields.items()}
+    _LOGGER.debug("", extra={"event": event, "event_fields": truncated})
 
 
-def _shorten(value: object) -> object:
+def _truncate(value: object) -> object:
     if isinstance(value, int | float | bool) or value is None:
         return round(value, 4) if isinstance(value, float) else value
     return str(value)[:MAX_VALUE_LENGTH]
 
 
 def set_up_event_logging(process: ProcessName) -> EventLogHandler:
-    """Sends event lines of this process to standard output."""
+    """Installs and returns a handler that writes events to standard output."""
     handler = EventLogHandler(process)
     handler.push_application()
     return handler
--- a/buckthornstile/metrics/__init__.py
+++ b/buckthornstile/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and HDR histograms, and their text for scrapers."""
+"""Counters, gauges and HDR histograms, and their Prometheus text format."""
 
 from buckthornstile.metrics._exposition import render_metrics
 from buckthornstile.metrics._histograms import (
--- a/buckthornstile/metrics/_exposition.py
+++ b/buckthornstile/metrics/_exposition.py
@@ -1,9 +1,9 @@
-"""The text format that the usual scrapers read."""
+"""Prometheus text exposition format."""
 
 from buckthornstile.metrics._histograms import Histograms
 from buckthornstile.metrics._series import Counters, Gauges, Labels
 
-PREFIX = "buckthornstile_"
+NAME_PREFIX = "buckthornstile_"
 QUANTILES = (0.5, 0.9, 0.99, 0.999)
 
 
@@ -13,7 +13,7 @@
     gauges: Gauges | None = None,
     histograms: Histograms | None = None,
 ) -> str:
-    """Renders counters, gauges and histograms for a scraper.
+    """Returns counters, gauges and histograms in the text exposition format.
 
     Histograms are rendered as summaries: quantiles, sum and count.
 
@@ -23,7 +23,7 @@
         histograms: The histograms, or None.
 
     Returns:
-        The text, which ends with a line break.
+        The text; each line ends with a line break.
 
     Example:
         >>> gauges = Gauges()
@@ -35,10 +35,10 @@
     lines: list[str] = []
     if counters is not None:
         for name, values in counters.items().items():
-            lines += _render_series(f"{PREFIX}{name}_total", "counter", values)
+            lines += _render_series(f"{NAME_PREFIX}{name}_total", "counter", values)
     if gauges is not None:
         for name, values in gauges.items().items():
-            lines += _render_series(f"{PREFIX}{name}", "gauge", values)
+            lines += _render_series(f"{NAME_PREFIX}{name}", "gauge", values)
     if histograms is not None:
         lines += _render_histograms(histograms)
     return "".join(f"{line}\n" for line in lines)
@@ -53,21 +53,22 @@
 
 def _render_histograms(histograms: Histograms) -> list[str]:
     lines: list[str] = []
-    typed: set[str] = set()
-    for measure, label, value, distribution in histograms.list_series():
-        # One name a label, so that a sum over the series counts nothing twice.
-        name = f"{PREFIX}{label}_{measure.full_name}"
-        if name not in typed:
-            typed.add(name)
+    declared_names: set[str] = set()
+    for metric, label, value, histogram in histograms.list_series():
+        # Accounts and classes have metric names of their own, so that a sum over the
+        # series of a name counts no value twice.
+        name = f"{NAME_PREFIX}{label}_{metric.full_name}"
+        if name not in declared_names:
+            declared_names.add(name)
             lines.append(f"# TYPE {name} summary")
         labels = ((label, value),)
-        found = distribution.get_quantiles(QUANTILES)
-        for quantile, number in zip(QUANTILES, found, strict=True):
-            marked = _render_labels((*labels, ("quantile", f"{quantile:g}")))
-            lines.append(f"{name}{marked} {number:.6g}")
-        plain = _render_labels(labels)
-        lines.append(f"{name}_sum{plain} {distribution.sum:.9g}")
-        lines.append(f"{name}_count{plain} {distribution.count}")
+        quantile_values = histogram.get_quantiles(QUANTILES)
+        for quantile, quantile_value in zip(QUANTILES, quantile_values, strict=True):
+            quantile_labels = _render_labels((*labels, ("quantile", f"{quantile:g}")))
+            lines.append(f"{name}{quantile_labels} {quantile_value:.6g}")
+        series_labels = _render_labels(labels)
+        lines.append(f"{name}_sum{series_labels} {histogram.sum:.9g}")
+        lines.append(f"{name}_count{series_labels} {histogram.count}")
     return lines
 
 
--- a/buckthornstile/metrics/_histograms.py
+++ b/buckthornstile/metrics/_histograms.py
@@ -1,4 +1,4 @@
-"""HDR histograms for each client account and for each class of requests."""
+"""HDR histograms of each client account and of each request class."""
 
 from bisect import bisect_left
 from enum import Enum
@@ -10,16 +10,20 @@
 from buckthornstile.base import AccountId, RequestClass
 
 OVERFLOW_ACCOUNT = AccountId("other")
-"""Stands for all client accounts beyond the bound on their number."""
+"""Label under which all client accounts beyond the maximum number are combined."""
 
 MAX_ACCOUNTS = 64
+"""Number of client accounts that have histograms of their own."""
 SIGNIFICANT_DIGITS = 2
-COUNT_BYTES = 4
-LARGEST_VALUE = 100_000_000_000
+"""Number of significant decimal digits to which histograms are exact."""
+BUCKET_COUNT_BYTES = 4
+"""Size of a bucket's count, in bytes."""
+MAX_TRACKABLE_VALUE = 100_000_000_000
+"""Largest value that a histogram can record, in steps."""
 
 
 class HistogramMetric(Enum):
-    """What a histogram measures: name, unit and steps a unit."""
+    """Metric of a histogram: its name, its unit and the number of steps per unit."""
 
     QUEUE_WAIT = ("queue_wait", "seconds", 1_000_000)
     TIME_TO_FIRST_TOKEN = ("time_to_first_token", "seconds", 1_000_000)
@@ -29,76 +33,79 @@
 
     @property
     def full_name(self) -> str:
-        """The name with its unit."""
+        """The metric's name, followed by its unit."""
         return f"{self.value[0]}_{self.value[1]}"
 
     @property
-    def steps(self) -> int:
-        """How many histogram steps make one unit."""
+    def steps_per_unit(self) -> int:
+        """Number of histogram steps per unit."""
         return self.value[2]
 
 
 class Histogram:
-    """One HDR histogram with its exact sum.
+    """An HDR histogram, with the exact sum of its values.
+
+    Args:
+        steps_per_unit: Number of histogram steps per unit of the values.
 
     Example:
-        >>> distribution = Histogram(steps=1_000_000)
-        >>> distribution.record(0.25)
-        >>> round(distribution.get_quantile(0.5), 2), distribution.count
+        >>> histogram = Histogram(steps_per_unit=1_000_000)
+        >>> histogram.record(0.25)
+        >>> round(histogram.get_quantile(0.5), 2), histogram.count
         (0.25, 1)
     """
 
-    def __init__(self, *, steps: int) -> None:
-        self._steps = steps
-        self._largest = LARGEST_VALUE / steps
-        self._cached_for: tuple[int, tuple[float, ...]] = (0, ())
-        self._cached: tuple[float, ...] = ()
+    def __init__(self, *, steps_per_unit: int) -> None:
+        self._steps_per_unit = steps_per_unit
+        self._max_value = MAX_TRACKABLE_VALUE / steps_per_unit
+        self._cache_key: tuple[int, tuple[float, ...]] = (0, ())
+        self._cached_quantiles: tuple[float, ...] = ()
         self._histogram = HdrHistogram(
-            1, LARGEST_VALUE, SIGNIFICANT_DIGITS, word_size=COUNT_BYTES
+            1, MAX_TRACKABLE_VALUE, SIGNIFICANT_DIGITS, word_size=BUCKET_COUNT_BYTES
         )
         self.sum = 0.0
 
     @property
     def count(self) -> int:
-        """How many values were recorded."""
+        """Number of recorded values."""
         return int(self._histogram.get_total_count())
 
     def record(self, value: float) -> None:
-        """Records a value; a negative one counts as 0.
+        """Records a value; a negative one counts as 0, one too large as the maximum.
 
         Example:
-            >>> Histogram(steps=1).record(2)
+            >>> Histogram(steps_per_unit=1).record(2)
         """
-        bounded = value if 0 <= value <= self._largest else self._bound(value)
-        self._histogram.record_value(int(bounded * self._steps))
-        self.sum += bounded
+        clamped = value if 0 <= value <= self._max_value else self._clamp(value)
+        self._histogram.record_value(int(clamped * self._steps_per_unit))
+        self.sum += clamped
 
     def get_quantile(self, quantile: float) -> float:
-        """Finds a quantile, 0 for an empty histogram.
+        """Returns a quantile, or 0 for an empty histogram.
 
         Example:
-            >>> Histogram(steps=1).get_quantile(0.99)
+            >>> Histogram(steps_per_unit=1).get_quantile(0.99)
             0.0
         """
         return self.get_quantiles((quantile,))[0]
 
     def get_quantiles(self, quantiles: tuple[float, ...]) -> tuple[float, ...]:
-        """Finds several quantiles in one pass.
+        """Returns several quantiles, or zeros for an empty histogram.
 
         Example:
-            >>> Histogram(steps=1).get_quantiles((0.5, 0.99))
+            >>> Histogram(steps_per_unit=1).get_quantiles((0.5, 0.99))
             (0.0, 0.0)
         """
         if not self.count:
             return (0.0,) * len(quantiles)
-        if self._cached_for != (self.count, quantiles):
-            self._cached_for = (self.count, quantiles)
-            self._cached = self._compute_quantiles(quantiles)
-        return self._cached
+        if self._cache_key != (self.count, quantiles):
+            self._cache_key = (self.count, quantiles)
+            self._cached_quantiles = self._compute_quantiles(quantiles)
+        return self._cached_quantiles
 
     def _compute_quantiles(self, quantiles: tuple[float, ...]) -> tuple[float, ...]:
-        # The library walks its buckets in Python at each call, which would hold up
-        # the event loop at a scrape of many series; this walks them once, in C.
+        # The library iterates over its buckets in Python at each call, which would
+        # block the event loop when many series are scraped. This iterates once, in C.
         counts = memoryview(self._histogram.counts).cast("B").cast("I").tolist()
         cumulative = list(accumulate(counts))
         values = []
@@ -107,15 +114,19 @@
             index = bisect_left(cumulative, rank)
             value = self._histogram.get_value_from_index(index)
             highest = self._histogram.get_highest_equivalent_value(value)
-            values.append(highest / self._steps)
+            values.append(highest / self._steps_per_unit)
         return tuple(values)
 
-    def _bound(self, value: float) -> float:
-        return self._largest if value > 0 else 0.0
+    def _clamp(self, value: float) -> float:
+        return self._max_value if value > 0 else 0.0
 
 
 class Histograms:
-    """Distributions of each measure, by client account and by class.
+    """Histograms of each metric, by client account and by request class.
+
+    Args:
+        max_accounts: Number of client accounts with histograms of their own; the others
+            are combined under ``OVERFLOW_ACCOUNT``.
 
     Example:
         >>> histograms = Histograms()
@@ -138,66 +149,68 @@
 
     def record(
         self,
-        measure: HistogramMetric,
+        metric: HistogramMetric,
         value: float,
         *,
         account: AccountId,
         request_class: RequestClass,
     ) -> None:
-        """Records a value for its client account and for its class.
+        """Records a value for a client account and for a request class.
 
         Args:
-            measure: What was measured.
-            value: The value, in the measure's unit.
+            metric: The metric.
+            value: The value, in the metric's unit.
             account: The client account.
             request_class: The request's class.
         """
-        by_account = self._by_account.get((measure, account))
+        by_account = self._by_account.get((metric, account))
         if by_account is None:
-            by_account = self._add_account(measure, account)
+            by_account = self._add_account_histogram(metric, account)
         by_account.record(value)
-        by_class = self._by_class.get((measure, request_class))
+        by_class = self._by_class.get((metric, request_class))
         if by_class is None:
-            by_class = Histogram(steps=measure.steps)
-            self._by_class[(measure, request_class)] = by_class
+            by_class = Histogram(steps_per_unit=metric.steps_per_unit)
+            self._by_class[(metric, request_class)] = by_class
         by_class.record(value)
 
     def get_account_histogram(
-        self, measure: HistogramMetric, account: AccountId
+        self, metric: HistogramMetric, account: AccountId
     ) -> Histogram | None:
-        """Finds a client account's distribution.
+        """Returns the histogram of a client account, or None if there is none.
 
         Example:
             >>> metric = HistogramMetric.REQUEST_DURATION
             >>> Histograms().get_account_histogram(metric, "mill-7") is None
             True
         """
-        return self._by_account.get((measure, account))
+        return self._by_account.get((metric, account))
 
     def list_series(self) -> list[tuple[HistogramMetric, str, str, Histogram]]:
-        """Lists measure, label name, label value and distribution.
+        """Returns metric, label name, label value and histogram of each series.
 
         Example:
             >>> Histograms().list_series()
             []
         """
         series = [
-            (measure, "account", str(account), distribution)
-            for (measure, account), distribution in self._by_account.items()
+            (metric, "account", str(account), histogram)
+            for (metric, account), histogram in self._by_account.items()
         ]
         series += [
-            (measure, "class", request_class.value, distribution)
-            for (measure, request_class), distribution in self._by_class.items()
+            (metric, "class", request_class.value, histogram)
+            for (metric, request_class), histogram in self._by_class.items()
         ]
         return sorted(series, key=lambda row: (row[0].full_name, *row[1:3]))
 
-    def _add_account(self, measure: HistogramMetric, account: AccountId) -> Histogram:
+    def _add_account_histogram(
+        self, metric: HistogramMetric, account: AccountId
+    ) -> Histogram:
         if account not in self._accounts:
             if len(self._accounts) >= self.max_accounts:
                 account = OVERFLOW_ACCOUNT
             else:
                 self._accounts.add(account)
-        key = (measure, account)
+        key = (metric, account)
         if key not in self._by_account:
-            self._by_account[key] = Histogram(steps=measure.steps)
+            self._by_account[key] = Histogram(steps_per_unit=metric.steps_per_unit)
         return self._by_account[key]
--- a/buckthornstile/metrics/_series.py
+++ b/buckthornstile/metrics/_series.py
@@ -1,18 +1,20 @@
-"""Counters and gauges with a bounded number of series a name."""
+"""Counters and gauges, with a bounded number of series per name."""
 
 import re
 from typing import NewType
 
 CounterName = NewType("CounterName", str)
-"""A counter's name, lower case with underscores and without a unit suffix."""
+"""Name of a counter, in lower case with underscores and without a unit suffix."""
 
 GaugeName = NewType("GaugeName", str)
-"""A gauge's name, lower case with underscores."""
+"""Name of a gauge, in lower case with underscores."""
 
 Labels = tuple[tuple[str, str], ...]
+"""Names and values of a series' labels, sorted by name."""
 
 MAX_SERIES_PER_NAME = 256
 OVERFLOW_LABELS: Labels = (("series", "other"),)
+"""Labels of the series that combines all series beyond the maximum number."""
 NAME_PATTERN = re.compile(r"[a-z][a-z0-9_]{0,79}")
 
 
@@ -20,31 +22,31 @@
     def __init__(self) -> None:
         self._series: dict[str, dict[Labels, float]] = {}
 
-    def _find(self, name: str, labels: dict[str, str]) -> dict[Labels, float]:
+    def _get_or_create(self, name: str, labels: dict[str, str]) -> dict[Labels, float]:
         by_labels = self._series.get(name)
         if by_labels is None:
             for text in (name, *labels):
                 if not NAME_PATTERN.fullmatch(text):
                     raise ValueError(
-                        f"metric or label name is {text!r}; it must be lower case "
+                        f"metric or label name {text!r} must consist of lower-case "
                         "letters, digits and underscores"
                     )
             by_labels = self._series[name] = {}
         return by_labels
 
-    def _bound(self, by_labels: dict[Labels, float], labels: Labels) -> Labels:
-        # Label values may come from outside; their number must not grow for ever.
+    def _limit_series(self, by_labels: dict[Labels, float], labels: Labels) -> Labels:
+        # Clients may determine label values, so that their number must be bounded.
         if labels in by_labels or len(by_labels) < MAX_SERIES_PER_NAME:
             return labels
         return OVERFLOW_LABELS
 
     def items(self) -> dict[str, dict[Labels, float]]:
-        """Gives all values, by name and labels."""
+        """Returns all values, by name and labels."""
         return {name: dict(values) for name, values in sorted(self._series.items())}
 
 
 class Counters(_SeriesTable):
-    """Numbers that only grow.
+    """Values that only increase.
 
     Example:
         >>> counters = Counters()
@@ -54,25 +56,25 @@
     """
 
     def increment(self, name: CounterName, amount: float = 1, **labels: str) -> None:
-        """Adds to a counter.
+        """Increments a counter.
 
         Args:
             name: The counter's name.
-            amount: What to add; not negative.
+            amount: Amount to add, 0 or greater.
             **labels: Label names and values.
 
         Raises:
-            ValueError: The name or a label's name is malformed.
+            ValueError: The counter's name or a label's name is malformed.
 
         Example:
             >>> Counters().increment(CounterName("heartbeats"))
         """
-        by_labels = self._find(name, labels)
-        key = self._bound(by_labels, tuple(sorted(labels.items())))
+        by_labels = self._get_or_create(name, labels)
+        key = self._limit_series(by_labels, tuple(sorted(labels.items())))
         by_labels[key] = by_labels.get(key, 0) + amount
 
     def get(self, name: CounterName, **labels: str) -> float:
-        """Gives a counter's value; 0 if it was never incremented.
+        """Returns a counter's value, or 0 if it was never incremented.
 
         Example:
             >>> Counters().get(CounterName("heartbeats"))
@@ -81,7 +83,7 @@
         return self._series.get(name, {}).get(tuple(sorted(labels.items())), 0)
 
     def get_total(self, name: CounterName) -> float:
-        """Adds up a counter over all labels.
+        """Returns the sum of a counter over all labels.
 
         Example:
             >>> Counters().get_total(CounterName("heartbeats"))
@@ -91,7 +93,7 @@
 
 
 class Gauges(_SeriesTable):
-    """Numbers that rise and fall.
+    """Values that increase and decrease.
 
     Example:
         >>> gauges = Gauges()
@@ -101,7 +103,7 @@
     """
 
     def set(self, name: GaugeName, value: float, **labels: str) -> None:
-        """Sets a gauge.
+        """Sets a gauge's value.
 
         Args:
             name: The gauge's name.
@@ -111,11 +113,11 @@
         Example:
             >>> Gauges().set(GaugeName("limit"), 4.0, upstream="engine-1")
         """
-        by_labels = self._find(name, labels)
-        by_labels[self._bound(by_labels, tuple(sorted(labels.items())))] = value
+        by_labels = self._get_or_create(name, labels)
+        by_labels[self._limit_series(by_labels, tuple(sorted(labels.items())))] = value
 
     def remove(self, name: GaugeName, **labels: str) -> None:
-        """Removes a gauge whose subject is gone.
+        """Removes a series of a gauge, such as that of an upstream that is gone.
 
         Example:
             >>> Gauges().remove(GaugeName("limit"), upstream="engine-1")
--- a/buckthornstile/metrics/tests/test_metrics.py
+++ b/buckthornstile/metrics/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics stay bounded and are read back as they were recorded."""
+"""Tests of metrics: bounded number of series, quantiles and exposition format."""
 
 import re
 
@@ -12,13 +12,13 @@
     render_metrics,
 )
 
-LINE = re.compile(
+LINE_PATTERN = re.compile(
     r'# TYPE \w+ (counter|gauge|summary)|\w+(\{\w+="(\\.|[^"\\])*"(,\w+="[^"]*")*\})? '
     r"[0-9.e+-]+"
 )
 
 
-def test_accounts_beyond_the_bound_are_counted_together():
+def test_accounts_beyond_maximum_share_one_histogram():
     histograms = Histograms(max_accounts=2)
     for number in range(50):
         histograms.record(
@@ -36,7 +36,7 @@
     )
 
 
-def test_label_values_from_outside_do_not_grow_without_bound():
+def test_number_of_series_per_counter_is_bounded():
     counters = Counters()
     for number in range(5000):
         counters.increment("refusals", path=f"/{number}")
@@ -44,7 +44,7 @@
     assert len(counters.items()["refusals"]) == 257
 
 
-def test_quantiles_are_within_two_digits():
+def test_quantiles_are_exact_to_two_digits():
     histograms = Histograms()
     for milliseconds in range(1, 1001):
         histograms.record(
@@ -53,28 +53,26 @@
             account="mill-7",
             request_class=RequestClass.TRAINER,
         )
-    distribution = histograms.get_account_histogram(
-        HistogramMetric.QUEUE_WAIT, "mill-7"
-    )
-    assert abs(distribution.get_quantile(0.99) - 0.99) < 0.01
-    assert abs(distribution.sum - 500.5) < 1e-6
-    for odd in (-1, float("inf"), float("nan")):
-        distribution.record(odd)
-    assert distribution.count == 1003
-    assert distribution.get_quantile(0.001) < 0.01
+    histogram = histograms.get_account_histogram(HistogramMetric.QUEUE_WAIT, "mill-7")
+    assert abs(histogram.get_quantile(0.99) - 0.99) < 0.01
+    assert abs(histogram.sum - 500.5) < 1e-6
+    for out_of_range in (-1, float("inf"), float("nan")):
+        histogram.record(out_of_range)
+    assert histogram.count == 1003
+    assert histogram.get_quantile(0.001) < 0.01
 
 
-def test_the_text_is_well_formed_whatever_the_labels_hold():
+def test_exposition_is_well_formed_for_any_label_value():
     counters, gauges, histograms = Counters(), Gauges(), Histograms()
     counters.increment("refusals", 1_234_567, code='say "no"\n\\')
     gauges.set("limit", 2.5, upstream="engine-1")
-    for measure in HistogramMetric:
+    for metric in HistogramMetric:
         histograms.record(
-            measure, 1, account="mill-7", request_class=RequestClass.INTERACTIVE
+            metric, 1, account="mill-7", request_class=RequestClass.INTERACTIVE
         )
     text = render_metrics(counters=counters, gauges=gauges, histograms=histograms)
     lines = text.splitlines()
-    assert all(LINE.fullmatch(line) for line in lines)
+    assert all(LINE_PATTERN.fullmatch(line) for line in lines)
     types = [line for line in lines if line.startswith("#")]
     assert len(types) == len(set(types)) == 12
     assert "1234567" in text
