--- a/buckthornstile/platform/_jobs.py
+++ b/buckthornstile/platform/_jobs.py
@@ -22,7 +22,8 @@
 
 MAX_ID_LENGTH = 64
 MAX_RESULT_BYTES = 1_000_000
-"""Size of the results in one response, in bytes; one larger result is sent alone."""
+"""Maximum size of the results in one response, in bytes. A single result may exceed it,
+and is then sent alone."""
 UNFORWARDED_HEADERS = CONNECTION_HEADERS | INTERNAL_HEADERS | {"host", "request-id"}
 
 
--- a/buckthornstile/platform/_store.py
+++ b/buckthornstile/platform/_store.py
@@ -94,7 +94,8 @@
     """A condition of an append did not hold, and no record was appended.
 
     Args:
-        reason: ``end``, ``fenced`` or ``sequence``.
+        reason: ``end`` if the partition ends elsewhere, ``fenced`` if the producer's
+            epoch is too old, ``sequence`` if its sequence number is not the next one.
         expected: The end offset or the sequence number that the store expects, or -1.
     """
 
