--- a/buckthornstile/samples/__init__.py
+++ b/buckthornstile/samples/__init__.py
@@ -1,4 +1,4 @@
-"""Trainers' lots as they cross the product's own interface."""
+"""Lots, samples and the stream format by which trainers receive them."""
 
 from buckthornstile.samples._lines import (
     EndLine,
--- a/buckthornstile/samples/_lines.py
+++ b/buckthornstile/samples/_lines.py
@@ -1,4 +1,7 @@
-"""The lines of a lot's stream from the entry to the trainer, one JSON each."""
+"""Lines of the stream by which an entry sends a lot to its trainer.
+
+Each line is one JSON object.
+"""
 
 import hashlib
 import json
@@ -11,65 +14,65 @@
 from buckthornstile.samples._types import Sample, Slot, TokenRange
 
 DIGEST_BYTES = 16
-_Count = Annotated[int, Field(ge=0)]
-_Label = tuple[_Count, _Count, _Count]
+_NonNegativeInt = Annotated[int, Field(ge=0)]
+_LabelFields = tuple[_NonNegativeInt, _NonNegativeInt, _NonNegativeInt]
 
 
-class _Line(BaseModel):
+class _BaseLine(BaseModel):
     model_config = ConfigDict(frozen=True)
 
 
-class SampleLine(_Line):
-    """One sample on its way to the trainer.
+class SampleLine(_BaseLine):
+    """A sample, as it is sent to the trainer.
 
     Args:
         group: The slot's group.
         index: The slot's index.
-        body: The engine's JSON answer.
+        body: The engine's JSON response.
         digest: BLAKE2b-128 of the body's canonical JSON, in hexadecimal.
-        labels: First token, last token and version of each range.
-        request_id: The request that made it.
+        labels: First event, last event and weight version of each range.
+        request_id: Id of the request that generated it.
     """
 
     group: int
     index: int
     body: dict[str, Any]
     digest: str
-    labels: tuple[_Label, ...]
+    labels: tuple[_LabelFields, ...]
     request_id: str = ""
 
     @property
     def slot(self) -> Slot:
-        """The sample's slot."""
+        """Position of the sample in the lot."""
         return Slot(self.group, self.index)
 
     @property
     def ranges(self) -> tuple[TokenRange, ...]:
-        """The labels, typed."""
+        """The labels, as ``TokenRange`` objects."""
         return tuple(TokenRange(*label) for label in self.labels)  # type: ignore[arg-type]
 
 
-class HeartbeatLine(_Line):
-    """Proof that the entry still works on the lot."""
+class HeartbeatLine(_BaseLine):
+    """Signal that the entry is still processing the lot."""
 
 
-class EndLine(_Line):
-    """Every sample of the lot has been delivered or received before.
+class EndLine(_BaseLine):
+    """Last line of a lot, sent after all its samples have been delivered.
 
     Args:
-        delivered: The lot's samples.
+        delivered: Number of the lot's samples.
     """
 
     delivered: int
 
 
-class ErrorLine(_Line):
-    """The lot failed at this entry.
+class ErrorLine(_BaseLine):
+    """Error by which the lot failed at this entry.
 
     Args:
-        code: The error's code.
-        message: One sentence for a person.
-        verdict: Whether samples may have been made.
+        code: The error code.
+        message: One sentence that describes the error.
+        verdict: Whether samples may have been generated.
         retry_after: Seconds after which a retry may succeed, if known.
     """
 
@@ -95,7 +98,7 @@
 
 
 def digest_body(body: object) -> str:
-    """Digests a JSON value, whatever the order of its keys.
+    """Returns a digest of a JSON value, independent of the order of its keys.
 
     Args:
         body: The decoded JSON value.
@@ -112,7 +115,7 @@
 
 
 def encode_sample(sample: Sample) -> bytes:
-    r"""Encodes a sample as one line, with its newline.
+    r"""Encodes a sample as a line that ends with a newline.
 
     Args:
         sample: The sample.
@@ -136,20 +139,22 @@
             index=sample.slot.index,
             body=body,
             digest=digest_body(body),
-            labels=tuple((r.first, r.last, r.version) for r in sample.labels),
+            labels=tuple(
+                (label.first, label.last, label.version) for label in sample.labels
+            ),
             request_id=sample.request_id,
         )
         return encode_line(line)
     except (ValueError, RecursionError) as error:
         raise BuckthornstileError(
             ErrorCode.BODY_MALFORMED,
-            "a sample's body is not a JSON object",
+            "the body of a sample is not a JSON object",
             verdict=Verdict.MAY_HAVE_RUN,
         ) from error
 
 
 def encode_line(line: Line) -> bytes:
-    r"""Encodes one line of the stream, with its newline.
+    r"""Encodes a line of the stream, with its newline.
 
     Args:
         line: The line.
@@ -161,39 +166,39 @@
         >>> encode_line(HeartbeatLine())
         b'{"heartbeat":true}\n'
     """
-    return _encode_canonical(_wrap(line)) + b"\n"
+    return _encode_canonical(_to_envelope(line)) + b"\n"
 
 
 @singledispatch
-def _wrap(line: Line) -> dict[str, object]:
-    raise TypeError(f"not a line: {line!r}")
+def _to_envelope(line: Line) -> dict[str, object]:
+    raise TypeError(f"unknown type of stream line: {line!r}")
 
 
-@_wrap.register
+@_to_envelope.register
 def _(line: SampleLine) -> dict[str, object]:
-    # The body is kept as it is: it may hold half of a surrogate pair, which an
-    # engine that cuts a character makes.
+    # The body is not converted, as it may contain a lone surrogate from an engine
+    # that splits a character.
     fields = line.model_dump(mode="json", exclude={"body"})
     return {"sample": {**fields, "body": line.body}}
 
 
-@_wrap.register
+@_to_envelope.register
 def _(line: HeartbeatLine) -> dict[str, object]:
     return {"heartbeat": True}
 
 
-@_wrap.register
+@_to_envelope.register
 def _(line: EndLine) -> dict[str, object]:
     return {"end": line.model_dump(mode="json")}
 
 
-@_wrap.register
+@_to_envelope.register
 def _(line: ErrorLine) -> dict[str, object]:
     return {"error": line.model_dump(mode="json")}
 
 
 def decode_line(data: bytes) -> Line:
-    """Decodes one line of the stream.
+    """Decodes a line of the stream.
 
     Args:
         data: The line, with or without its newline.
@@ -202,7 +207,7 @@
         The line.
 
     Raises:
-        BuckthornstileError: With ``ANSWER_TRUNCATED`` for anything else.
+        BuckthornstileError: With ``ANSWER_TRUNCATED`` if the data is not a valid line.
 
     Example:
         >>> decode_line(b'{"end": {"delivered": 3}}').delivered
@@ -211,17 +216,17 @@
     try:
         envelope = _Envelope.model_validate(json.loads(data))
     except (ValueError, RecursionError) as error:
-        raise _make_truncated() from error
+        raise _make_truncated_error() from error
     heartbeat = HeartbeatLine() if envelope.heartbeat else None
     line = envelope.sample or heartbeat or envelope.end or envelope.error
     if line is None:
-        raise _make_truncated()
+        raise _make_truncated_error()
     return line
 
 
-def _make_truncated() -> BuckthornstileError:
+def _make_truncated_error() -> BuckthornstileError:
     return BuckthornstileError(
         ErrorCode.ANSWER_TRUNCATED,
-        "a line of the lot's stream is broken",
+        "a line of the lot's stream is not valid",
         verdict=Verdict.MAY_HAVE_RUN,
     )
--- a/buckthornstile/samples/_receiver.py
+++ b/buckthornstile/samples/_receiver.py
@@ -1,4 +1,4 @@
-"""What a trainer has received of a lot: the truth of what was delivered."""
+"""The trainer's record of the samples of a lot that it has received."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class ReceiveResult(Enum):
-    """What became of a sample that came in."""
+    """Outcome of receiving a sample."""
 
     NEW = "new"
     DUPLICATE = "duplicate"
@@ -20,12 +20,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AttachRequest:
-    """What a trainer sends to attach, or to attach again.
+    """Request by which a trainer attaches to a lot, for the first time or again.
 
     Args:
-        attach: The attach number, greater than all before.
-        received: The slots whose samples the trainer has.
-        specification: The lot, with the trainer's version of now.
+        attach: The attach number, greater than all previous ones.
+        received: Slots of the samples that the trainer has received.
+        specification: The lot, with the trainer's current version.
     """
 
     attach: int
@@ -33,7 +33,7 @@
     specification: LotSpecification
 
     def to_json(self) -> dict[str, object]:
-        """Gives the body of the attach, as ``POST /v1/lots`` takes it."""
+        """Returns the body of the request to ``POST /v1/lots``."""
         return {
             "specification": self.specification.model_dump(mode="json"),
             "attach": self.attach,
@@ -42,24 +42,24 @@
 
 
 class SampleReceiver:
-    """Removes duplicates, refuses broken or old samples, and counts attaches.
+    """Validates the samples of a lot, removes duplicates and numbers the attaches.
 
     Args:
         specification: The lot.
         first_attach: The first attach number. A trainer that may have attached
-            in an earlier life passes seconds since the epoch, so that its
-            numbers go on growing.
+            before a restart passes seconds since the epoch, so that its numbers
+            keep increasing.
 
     Example:
         >>> from buckthornstile.samples import GroupSpecification
         >>> group = GroupSpecification(prompt="p", samples=1)
-        >>> wanted = LotSpecification(lot="l", trainer="t", groups=(group,), version=3)
-        >>> received = SampleReceiver(wanted)
-        >>> received.make_attach_request().attach
+        >>> lot = LotSpecification(lot="l", trainer="t", groups=(group,), version=3)
+        >>> receiver = SampleReceiver(lot)
+        >>> receiver.make_attach_request().attach
         1
         >>> line = SampleLine(group=0, index=0, body={}, labels=((0, 1, 2),),
         ...     digest=digest_body({}))
-        >>> received.receive(line), received.receive(line), received.is_complete
+        >>> receiver.receive(line), receiver.receive(line), receiver.is_complete
         (<ReceiveResult.NEW: 'new'>, <ReceiveResult.DUPLICATE: 'duplicate'>, True)
     """
 
@@ -82,16 +82,16 @@
 
     @property
     def received(self) -> tuple[Slot, ...]:
-        """The slots received, in order."""
+        """Received slots, in order."""
         return tuple(sorted(self._received))
 
     @property
     def unacknowledged(self) -> tuple[Slot, ...]:
-        """Received slots whose acknowledgement has not been confirmed."""
+        """Received slots whose acknowledgement no entry has accepted yet, in order."""
         return tuple(sorted(self._unacknowledged))
 
     def make_attach_request(self) -> AttachRequest:
-        """Makes the next attach; its number is never used again."""
+        """Returns the next attach request, whose number is never used again."""
         attach = self.next_attach
         self.next_attach += 1
         self.needs_attach = False
@@ -101,7 +101,7 @@
         return AttachRequest(attach, self.received, specification)
 
     def update_trainer_version(self, version: int) -> None:
-        """Takes in the trainer's version; an older one changes nothing.
+        """Updates the trainer's version and ignores an older one.
 
         Args:
             version: The trainer's current weight version.
@@ -109,19 +109,20 @@
         self.trainer_version = WeightVersion(max(self.trainer_version, version))
 
     def receive(self, line: SampleLine) -> ReceiveResult:
-        """Takes in a sample.
+        """Validates and records a sample.
 
         Args:
             line: The sample.
 
         Returns:
-            ``NEW`` exactly once for each slot. ``TOO_OLD`` asks for a new
-            attach, by which the slot is made again.
+            ``NEW`` exactly once for each slot. ``TOO_OLD`` requires a new attach,
+            which requests the slot again.
 
         Raises:
             BuckthornstileError: With ``ANSWER_CROSSED`` for a slot of another
                 lot, ``ANSWER_TRUNCATED`` for a wrong digest, or
-                ``VERSION_UNVERIFIABLE`` for labels with gaps.
+                ``VERSION_UNVERIFIABLE`` for labels that are missing, leave gaps or
+                overlap.
         """
         self._check(line)
         if line.slot in self._received:
@@ -138,7 +139,7 @@
         return ReceiveResult.NEW
 
     def mark_acknowledged(self, slots: Iterable[Slot]) -> None:
-        """Takes in that an entry has taken an acknowledgement.
+        """Records that an entry has accepted an acknowledgement.
 
         Args:
             slots: The acknowledged slots.
@@ -147,22 +148,23 @@
 
     def _check(self, line: SampleLine) -> None:
         if not self.specification.has_slot(line.slot):
-            raise _make_error(ErrorCode.ANSWER_CROSSED, "a sample of another lot came")
+            raise _make_error(
+                ErrorCode.ANSWER_CROSSED, "a sample does not belong to this lot"
+            )
         if digest_body(line.body) != line.digest:
             raise _make_error(
                 ErrorCode.ANSWER_TRUNCATED, "a sample does not match its digest"
             )
-        position = 0
+        next_event = 0
         for first, last, _ in line.labels:
-            if first != position or last < first:
+            if first != next_event or last < first:
                 raise _make_error(
-                    ErrorCode.VERSION_UNVERIFIABLE, "a sample's labels leave gaps"
+                    ErrorCode.VERSION_UNVERIFIABLE,
+                    "the labels of a sample leave gaps or overlap",
                 )
-            position = last + 1
+            next_event = last + 1
         if not line.labels:
-            raise _make_error(
-                ErrorCode.VERSION_UNVERIFIABLE, "a sample came without labels"
-            )
+            raise _make_error(ErrorCode.VERSION_UNVERIFIABLE, "a sample has no labels")
 
 
 def _make_error(code: ErrorCode, message: str) -> BuckthornstileError:
--- a/buckthornstile/samples/_specification.py
+++ b/buckthornstile/samples/_specification.py
@@ -1,4 +1,4 @@
-"""What a trainer asks for: one lot of samples, in groups with a shared prompt."""
+"""Specification of a lot: the samples that a trainer requests, grouped by prompt."""
 
 import hashlib
 from collections.abc import Iterator
@@ -17,22 +17,26 @@
 from buckthornstile.samples._types import Slot
 
 MAX_SLOTS = 16_384
+"""Maximum number of samples in a lot."""
 MAX_PROMPT_CHARACTERS = 1 << 18
 MAX_TOKENS = 1 << 17
+"""Maximum number of tokens of a sample."""
 MAX_TIMEOUT_S = 6 * 3600.0
-_NAME = r"^[^\s/]+$"
+"""Maximum timeout of a lot, in seconds."""
+_ID_PATTERN = r"^[^\s/]+$"
 
-_Name = Annotated[str, Field(min_length=1, max_length=128, pattern=_NAME)]
+_Id = Annotated[str, Field(min_length=1, max_length=128, pattern=_ID_PATTERN)]
 
 
 class GroupSpecification(BaseModel):
-    """Samples that share one prompt.
+    """A group of samples that share one prompt.
 
     Args:
         prompt: The prompt.
-        samples: How many samples are wanted.
-        max_tokens: The most tokens of each sample.
-        expected_tokens: The trainer's estimate of a sample's length; 0 for none.
+        samples: Number of samples requested.
+        max_tokens: Maximum number of tokens of each sample.
+        expected_tokens: The trainer's estimate of a sample's length, in tokens; 0 if
+            it has none.
 
     Example:
         >>> GroupSpecification(prompt="set the saw", samples=8).max_tokens
@@ -47,7 +51,7 @@
 
     @property
     def prefix_hash(self) -> str:
-        """The hash by which the group's samples prefer one upstream.
+        """Hash of the prompt, by which the group's samples prefer one upstream.
 
         Example:
             >>> GroupSpecification(prompt="a", samples=1).prefix_hash
@@ -57,16 +61,16 @@
 
 
 class LotSpecification(BaseModel):
-    """One training step's order of samples.
+    """A lot: the samples that a trainer requests for one training step.
 
     Args:
         lot: The lot's id, unique for the trainer.
-        trainer: The trainer.
+        trainer: The trainer's id.
         groups: The groups of samples; a slot's group is an index into them.
         version: The trainer's current weight version.
-        maximum_age: Versions that a sample may be behind the trainer.
-        timeout: Seconds until the trainer gives the lot up.
-        path: The path at the upstream.
+        maximum_age: Number of versions by which a sample may be behind the trainer.
+        timeout: Time after which the trainer abandons the lot, in seconds.
+        path: Path of the requests to the upstream.
 
     Example:
         >>> group = GroupSpecification(prompt="p", samples=2)
@@ -76,8 +80,8 @@
     """
 
     model_config = ConfigDict(frozen=True, extra="forbid")
-    lot: _Name
-    trainer: _Name
+    lot: _Id
+    trainer: _Id
     groups: tuple[GroupSpecification, ...] = Field(min_length=1, max_length=MAX_SLOTS)
     version: int = Field(ge=0)
     maximum_age: int = Field(default=1, ge=0, le=1000)
@@ -88,28 +92,28 @@
     def _check_slots(self) -> "LotSpecification":
         if self.slot_count > MAX_SLOTS:
             raise ValueError(
-                f"the lot has {self.slot_count} samples; it may have {MAX_SLOTS}"
+                f"the lot has {self.slot_count} samples; the maximum is {MAX_SLOTS}"
             )
         return self
 
     @property
     def trainer_id(self) -> TrainerId:
-        """The trainer's id, typed."""
+        """The trainer's id, as a ``TrainerId``."""
         return TrainerId(self.trainer)
 
     @property
     def slot_count(self) -> int:
-        """How many samples are wanted."""
+        """Number of samples in all groups."""
         return sum(group.samples for group in self.groups)
 
     def iterate_slots(self) -> Iterator[Slot]:
-        """Yields every slot, in order."""
-        for number, group in enumerate(self.groups):
+        """Yields the slots of the lot, ordered by group and index."""
+        for group_index, group in enumerate(self.groups):
             for index in range(group.samples):
-                yield Slot(number, index)
+                yield Slot(group_index, index)
 
     def has_slot(self, slot: Slot) -> bool:
-        """Says whether a slot belongs to the lot.
+        """Whether a slot belongs to the lot.
 
         Args:
             slot: The slot.
@@ -119,7 +123,7 @@
         return 0 <= slot.index < self.groups[slot.group].samples
 
     def get_minimum_version(self, trainer_version: WeightVersion) -> WeightVersion:
-        """Gives the oldest version that a sample may be made by.
+        """Returns the oldest weight version that may generate a sample.
 
         Args:
             trainer_version: The trainer's newest known version.
@@ -128,12 +132,12 @@
 
 
 def make_lot_id(account: AccountId, trainer: str, lot: str) -> LotId:
-    """Joins the names that make a lot's id unique over all client accounts.
+    """Returns a lot's id that is unique across all client accounts.
 
     Args:
-        account: The client account that the trainer's key stands for.
-        trainer: The trainer.
-        lot: The trainer's own name for the lot.
+        account: The client account to which the trainer's key belongs.
+        trainer: The trainer's id.
+        lot: The lot's id at the trainer.
 
     Example:
         >>> make_lot_id(AccountId("mill-7"), "geometry", "step-9")
@@ -143,7 +147,7 @@
 
 
 def hash_prefix(prompt: str) -> str:
-    """Hashes a prompt, for prefix affinity.
+    """Returns the hash of a prompt, which prefix affinity uses.
 
     Args:
         prompt: The prompt.
@@ -159,7 +163,7 @@
 
 
 def parse_specification(data: object) -> LotSpecification:
-    """Validates a trainer's specification.
+    """Parses and validates the specification that a trainer sent.
 
     Args:
         data: The decoded JSON object.
@@ -168,7 +172,8 @@
         The specification.
 
     Raises:
-        BuckthornstileError: With ``LOT_INVALID``, naming the first wrong field.
+        BuckthornstileError: With ``LOT_INVALID``, with the first invalid field
+            in the message.
 
     Example:
         >>> parse_specification({"lot": "l"})
@@ -179,7 +184,7 @@
         return LotSpecification.model_validate(data)
     except ValidationError as error:
         first = error.errors(include_input=False, include_url=False)[0]
-        place = ".".join(str(part) for part in first["loc"]) or "specification"
+        location = ".".join(str(part) for part in first["loc"]) or "specification"
         raise BuckthornstileError(
-            ErrorCode.LOT_INVALID, f"{place}: {first['msg']}"
+            ErrorCode.LOT_INVALID, f"{location}: {first['msg']}"
         ) from error
--- a/buckthornstile/samples/_types.py
+++ b/buckthornstile/samples/_types.py
@@ -1,4 +1,4 @@
-"""Slots, version labels and samples."""
+"""Types for slots, weight-version labels and samples."""
 
 from dataclasses import dataclass
 
@@ -7,9 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenRange:
-    """Events ``first`` to ``last``, inclusive, made by one weight version.
+    """A range of a sample's events that one weight version generated.
 
-    An engine that sends each token as an event of its own makes these tokens.
+    Events are tokens if the engine sends each token as a separate event.
+
+    Args:
+        first: Index of the first event.
+        last: Index of the last event, inclusive.
+        version: The weight version.
     """
 
     first: int
@@ -19,7 +24,12 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Slot:
-    """One wanted sample of a lot."""
+    """Position of one sample in a lot.
+
+    Args:
+        group: Index of the group in the lot.
+        index: Index of the sample in the group.
+    """
 
     group: int
     index: int
@@ -27,13 +37,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """A finished sample with the weight versions that made it.
+    """A finished sample with the weight versions that generated it.
 
     Args:
-        slot: Which sample of the lot it is.
-        body: The JSON object that its trainer gets.
-        labels: Which weight versions made which events.
-        request_id: The request that made it.
+        slot: Its position in the lot.
+        body: The JSON object that is sent to the trainer.
+        labels: The weight version of each range of its events.
+        request_id: Id of the request that generated it.
 
     Example:
         >>> labels = (TokenRange(0, 4, WeightVersion(2)),)
--- a/buckthornstile/samples/tests/test_lines.py
+++ b/buckthornstile/samples/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""Any JSON object that an engine answers reaches the trainer as it was."""
+"""Tests that every JSON object from an engine reaches the trainer unchanged."""
 
 import json
 
@@ -18,16 +18,16 @@
     encode_sample,
 )
 
-TEXTS = st.text(st.characters(), max_size=8)
-VALUES = st.recursive(
-    st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | TEXTS,
-    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(TEXTS, inner),
+STRINGS = st.text(st.characters(), max_size=8)
+JSON_VALUES = st.recursive(
+    st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | STRINGS,
+    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(STRINGS, inner),
     max_leaves=8,
 )
 LABELS = (TokenRange(0, 9, 5),)
 
 
-def make_received():
+def make_receiver():
     group = GroupSpecification(prompt="p", samples=2)
     return SampleReceiver(
         LotSpecification(lot="l", trainer="t", groups=(group,), version=5)
@@ -35,23 +35,23 @@
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
-@given(st.dictionaries(st.sampled_from(["text", "usage"]), VALUES))
-def test_bodies_survive(body):
+@given(st.dictionaries(st.sampled_from(["text", "usage"]), JSON_VALUES))
+def test_body_is_decoded_unchanged(body):
     sample = Sample(Slot(0, 1), json.dumps(body).encode(), LABELS)
     line = decode_line(encode_sample(sample))
     assert line.body == body
-    make_received().receive(line)
+    make_receiver().receive(line)
 
 
-def test_half_a_surrogate_pair_survives():
+def test_lone_surrogate_is_decoded_unchanged():
     line = decode_line(encode_sample(Sample(Slot(0, 1), b'{"text":"\\ud83d"}', LABELS)))
     assert line.body == {"text": "\ud83d"}
-    make_received().receive(line)
+    make_receiver().receive(line)
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.binary(max_size=60))
-def test_garbage_is_a_coded_error(data):
+def test_malformed_data_raises_the_matching_error_code(data):
     for body in (b"!" + data, b"[" + data, b'"text"'):
         with pytest.raises(BuckthornstileError) as caught:
             encode_sample(Sample(Slot(0, 0), body, LABELS))
@@ -71,9 +71,9 @@
         ({"labels": [[0, 2, 5], [2, 3, 5]]}, ErrorCode.VERSION_UNVERIFIABLE),
     ],
 )
-def test_a_changed_sample_is_refused(change, code):
+def test_altered_sample_is_rejected(change, code):
     data = json.loads(encode_sample(Sample(Slot(0, 1), b'{"text":"a"}', LABELS)))
     line = decode_line(json.dumps({"sample": {**data["sample"], **change}}).encode())
     with pytest.raises(BuckthornstileError) as caught:
-        make_received().receive(line)
+        make_receiver().receive(line)
     assert caught.value.code is code
--- a/buckthornstile/topology/__init__.py
+++ b/buckthornstile/topology/__init__.py
@@ -1,4 +1,4 @@
-"""Routes, accounts, services and upstreams that are in force."""
+"""The routes, accounts, services and upstreams that are in effect."""
 
 from buckthornstile.topology._types import (
     ClientLimits,
--- a/buckthornstile/topology/_types.py
+++ b/buckthornstile/topology/_types.py
@@ -1,4 +1,4 @@
-"""What operators configure and what upstreams say of themselves."""
+"""Types for the operators' configuration and for the upstreams' own reports."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -13,11 +13,14 @@
 )
 
 ModelName = NewType("ModelName", str)
-"""A model whose weights engines load."""
+"""Name of a model whose weights the engines load."""
 
 
 class RouteKind(Enum):
-    """What the system may do with a request of a route."""
+    """Way in which the requests of a route may be executed.
+
+    ``ROLLOUT`` requests submit jobs.
+    """
 
     IDEMPOTENT = "repeatable"
     AT_MOST_ONCE = "at_most_once"
@@ -26,10 +29,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One host and path prefix, and how its requests are served.
-
-    Times are in seconds. ``services`` pairs each service with its share of the
-    requests. ``allows_anonymous`` routes need no key.
+    """A host and a path prefix, with the way in which their requests are served.
+
+    Args:
+        name: The route's name.
+        host: The host that requests name.
+        path_prefix: Prefix of the paths that the route serves.
+        kind: How its requests may be executed.
+        services: The services, each with its share of the requests.
+        timeout: Time limit of a request, in seconds.
+        target_latency: Expected latency of a request, in seconds; the delay of a hedged
+            attempt is a fraction of it.
+        priority: Priority of the requests.
+        max_attempts: Number of attempts that a request may have.
+        allows_anonymous: Whether requests need no key.
+        is_streaming: Whether responses are streams.
+        is_resumable: Whether a broken stream may be continued by another attempt.
+        requires_single_version: Whether one weight version must produce the whole
+            response.
+        result_deadline: Deadline for a result, in seconds.
+        retention: Time after which an unfinished job may be abandoned, in seconds.
     """
 
     name: str
@@ -51,7 +70,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A group of upstreams; ``cold_rate`` is requests a second a cold one bears."""
+    """A group of upstreams that serve the same requests.
+
+    Args:
+        name: The service's name.
+        health_path: Path of the upstreams' health check.
+        max_connections: Maximum number of connections to one upstream.
+        cold_start: Time for which an upstream is cold after its start, in seconds.
+        cold_rate: Requests per second that a cold upstream may receive.
+        models: The models that the upstreams serve.
+    """
 
     name: ServiceName
     health_path: str = ""
@@ -63,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformAccount:
-    """A client account with the keys that are its own."""
+    """A client account with its keys."""
 
     name: AccountId
     keys: tuple[str, ...] = ()
@@ -72,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What a client may send (bytes) and how long it may take (seconds)."""
+    """Limits on a client's requests: sizes in bytes, timeouts in seconds."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 32 << 20
@@ -82,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformConfiguration:
-    """One whole version of what operators configured."""
+    """A complete version of the configuration that operators wrote."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -93,11 +121,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Upstream:
-    """One back end as it last described itself.
-
-    ``started_at_ms`` is the millisecond of its start: the same id with another
-    ``started_at_ms`` is another incarnation. ``sequence`` counts what it wrote of
-    itself since then. ``cold_remaining`` is in seconds.
+    """An upstream as described by its last entry in the store.
+
+    Args:
+        id: The upstream's id.
+        service: The service that it belongs to.
+        host: Its IP address.
+        port: Its port.
+        failure_domain: Its failure domain.
+        slots: Number of requests that it can serve at once.
+        is_draining: Whether it accepts no new requests.
+        cold_remaining: Time for which it is still cold, in seconds.
+        started_at_ms: Time of its start, in milliseconds since the epoch. The same id
+            with another start time is another incarnation.
+        sequence: Number of the entry, counted since the start.
+        versions: Weight version of each model that it holds.
     """
 
     id: UpstreamId
@@ -114,5 +152,5 @@
 
     @property
     def address(self) -> str:
-        """The address as ``IP:port``."""
+        """The address, as ``IP:port``."""
         return f"{self.host}:{self.port}"
--- a/buckthornstile/topology/_view.py
+++ b/buckthornstile/topology/_view.py
@@ -1,4 +1,4 @@
-"""The fold of what operators and upstreams wrote, as one process knows it."""
+"""One process's view of the configuration and of the upstreams in the store."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -13,32 +13,33 @@
 )
 
 API_HOST = ""
-"""Host of the routes of the product's own interface; their prefix is a name that no
-path of a client can be."""
+"""Host of the routes of the product's own API. Their path prefix is a name that cannot
+be the path of a client's request."""
 EXPIRY_GRACE = 2.0
-"""Seconds after the store's return within which lapsed entries are back."""
-LATE_WRITE = 6.0
-"""Seconds for which the store may still carry out a write that had no answer."""
-RETURN_GAP = 0.5
-"""Seconds between two writes that show that a removed upstream lives: a late write
-comes alone, a living upstream goes on writing."""
+"""Seconds after the store's return within which upstreams renew expired entries."""
+MAX_WRITE_DELAY = 6.0
+"""Seconds within which the store may still execute a write that got no response."""
+MIN_REJOIN_INTERVAL = 0.5
+"""Minimum seconds between two writes that show that a removed upstream is live. A
+delayed write arrives alone, whereas a live upstream keeps writing."""
 
 
 @dataclass(slots=True)
-class _Trace:
-    """The newest write of an upstream, kept also after its entry is gone."""
+class _LastWrite:
+    """The last write of an upstream, kept after its entry has been removed."""
 
     started_at_ms: int
     sequence: int
-    at: float
+    received_at: float
     removed_at: float | None = None
-    return_at: float | None = None
+    rejoined_at: float | None = None
 
 
 class TopologyView:
-    """Configuration, evacuations, named versions and upstreams in force.
+    """The configuration, evacuations, target versions and upstreams in effect.
 
-    Configuration and named versions only move forward.
+    The versions of the configuration and the target versions of the models never
+    decrease.
 
     Example:
         >>> view = TopologyView()
@@ -51,17 +52,21 @@
         self.evacuated_domains: set[FailureDomain] = set()
         self.target_versions: dict[ModelName, int] = {}
         self.upstreams: dict[UpstreamId, Upstream] = {}
-        self._lapsing: dict[UpstreamId, float] = {}
+        self._expiring: dict[UpstreamId, float] = {}
         self._cold_until: dict[UpstreamId, float] = {}
         self._seen_versions: dict[UpstreamId, tuple[int, dict[ModelName, int]]] = {}
-        self._traces: dict[UpstreamId, _Trace] = {}
+        self._last_writes: dict[UpstreamId, _LastWrite] = {}
         self.drained_domains: frozenset[FailureDomain] = frozenset()
         self._routes: dict[str, list[Route]] = {}
-        self._own_routes: dict[str, Route] = {}
+        self._api_routes: dict[str, Route] = {}
         self._accounts: dict[str, PlatformAccount] = {}
 
     def apply_configuration(self, configuration: PlatformConfiguration) -> bool:
-        """Puts a newer configuration in force; an older one changes nothing."""
+        """Puts a newer configuration in effect and ignores an older one.
+
+        Returns:
+            Whether the configuration was newer.
+        """
         current = self.configuration
         if current is not None and configuration.version <= current.version:
             return False
@@ -77,7 +82,7 @@
         return True
 
     def apply_evacuation(self, failure_domain: FailureDomain, evacuated: bool) -> None:
-        """Marks a failure domain as evacuated, or as back in use."""
+        """Marks a failure domain as evacuated or as in use."""
         if evacuated:
             self.evacuated_domains.add(failure_domain)
         else:
@@ -86,31 +91,36 @@
     def replace_api_configuration(
         self, routes: Iterable[Route], drained: Iterable[FailureDomain]
     ) -> None:
-        """Puts the routes and drains of the product's own interface in force."""
-        self._own_routes = {route.path_prefix: route for route in routes}
+        """Replaces the product's own API routes and the drained failure domains."""
+        self._api_routes = {route.path_prefix: route for route in routes}
         self.drained_domains = frozenset(drained)
 
     def replace_evacuations(self, failure_domains: set[FailureDomain]) -> None:
-        """Puts a whole list of evacuated failure domains in force."""
+        """Replaces the set of evacuated failure domains."""
         self.evacuated_domains = set(failure_domains)
 
     def apply_target_version(self, model: ModelName, version: int) -> bool:
-        """Notes the version that a trainer named; versions only grow."""
+        """Records the version that a trainer published, unless it is not newer.
+
+        Returns:
+            Whether the version was newer.
+        """
         if version <= self.target_versions.get(model, 0):
             return False
         self.target_versions[model] = version
         return True
 
     def apply_upstream(self, upstream: Upstream, now: float) -> bool:
-        """Notes what an upstream says of itself.
+        """Records an upstream's entry.
 
         Returns:
-            False if the entry is older than one seen before, or the first after its
-            removal: the store may carry out a write late.
+            False if the entry is older than the last one, or is the first after a
+            removal. Such an entry may come from a write that the store executed
+            late.
         """
         if not self._is_newest(upstream, now):
             return False
-        self._lapsing.pop(upstream.id, None)
+        self._expiring.pop(upstream.id, None)
         self.upstreams[upstream.id] = upstream
         if upstream.cold_remaining > 0:
             self._cold_until[upstream.id] = now + upstream.cold_remaining
@@ -119,69 +129,86 @@
         return True
 
     def _is_newest(self, upstream: Upstream, now: float) -> bool:
-        trace = self._traces.get(upstream.id)
-        if trace is None or upstream.started_at_ms > trace.started_at_ms:
-            self._traces[upstream.id] = _Trace(
+        last_write = self._last_writes.get(upstream.id)
+        if last_write is None or upstream.started_at_ms > last_write.started_at_ms:
+            self._last_writes[upstream.id] = _LastWrite(
                 upstream.started_at_ms, upstream.sequence, now
             )
             return True
         is_older = (upstream.started_at_ms, upstream.sequence) < (
-            trace.started_at_ms,
-            trace.sequence,
+            last_write.started_at_ms,
+            last_write.sequence,
         )
-        if is_older and now - trace.at < LATE_WRITE:
+        if is_older and now - last_write.received_at < MAX_WRITE_DELAY:
             return False
-        trace.started_at_ms, trace.sequence, trace.at = (
+        last_write.started_at_ms, last_write.sequence, last_write.received_at = (
             upstream.started_at_ms,
             upstream.sequence,
             now,
         )
-        if trace.removed_at is None or now - trace.removed_at > LATE_WRITE:
-            trace.removed_at = trace.return_at = None
+        if (
+            last_write.removed_at is None
+            or now - last_write.removed_at > MAX_WRITE_DELAY
+        ):
+            last_write.removed_at = last_write.rejoined_at = None
             return True
-        if trace.return_at is None:
-            trace.return_at = now
-        if now - trace.return_at < RETURN_GAP:
+        if last_write.rejoined_at is None:
+            last_write.rejoined_at = now
+        if now - last_write.rejoined_at < MIN_REJOIN_INTERVAL:
             return False
-        trace.removed_at = trace.return_at = None
+        last_write.removed_at = last_write.rejoined_at = None
         return True
 
     def remove_upstream(
         self, upstream_id: UpstreamId, now: float, *, until: float = 0.0
     ) -> None:
-        """Takes an upstream out.
+        """Removes an upstream.
 
         Args:
-            upstream_id: The upstream whose entry is gone.
-            now: The time in seconds.
-            until: Keep it in use until this time, for an entry that may have
-                lapsed only because the store was away.
+            upstream_id: The upstream whose entry was removed.
+            now: The current time, in seconds.
+            until: Time until which the upstream stays in use, in seconds, for an
+                entry that may have expired only because the store was unavailable.
+                0 removes it at once.
         """
         if until and upstream_id in self.upstreams:
-            self._lapsing.setdefault(upstream_id, until)
+            self._expiring.setdefault(upstream_id, until)
             return
-        lapsed = self._lapsing.pop(upstream_id, None) is not None
-        trace = self._traces.get(upstream_id)
-        if trace is not None and not lapsed:
-            trace.removed_at, trace.return_at = now, None
+        had_expired = self._expiring.pop(upstream_id, None) is not None
+        last_write = self._last_writes.get(upstream_id)
+        if last_write is not None and not had_expired:
+            last_write.removed_at, last_write.rejoined_at = now, None
         self._cold_until.pop(upstream_id, None)
         self._seen_versions.pop(upstream_id, None)
         self.upstreams.pop(upstream_id, None)
 
     def remove_expired(self, now: float) -> list[UpstreamId]:
-        """Takes out lapsed upstreams whose grace has passed, and names them."""
-        gone = [name for name, until in self._lapsing.items() if until <= now]
-        for name in gone:
-            self.remove_upstream(name, now)
-        return gone
+        """Removes the expired upstreams whose grace period has passed.
+
+        Returns:
+            The ids of the removed upstreams.
+        """
+        expired = [
+            upstream_id for upstream_id, until in self._expiring.items() if until <= now
+        ]
+        for upstream_id in expired:
+            self.remove_upstream(upstream_id, now)
+        return expired
 
     def replace_upstreams(
         self, upstreams: Mapping[UpstreamId, Upstream], now: float, *, until: float
     ) -> None:
-        """Puts a whole list of upstreams in force; missing ones lapse or go."""
-        for name in list(self.upstreams):
-            if name not in upstreams:
-                self.remove_upstream(name, now, until=until)
+        """Replaces all upstreams.
+
+        Args:
+            upstreams: The upstreams by id.
+            now: The current time, in seconds.
+            until: Time until which the missing upstreams stay in use, in seconds; 0
+                removes them at once.
+        """
+        for upstream_id in list(self.upstreams):
+            if upstream_id not in upstreams:
+                self.remove_upstream(upstream_id, now, until=until)
         for upstream in upstreams.values():
             self.apply_upstream(upstream, now)
 
@@ -195,16 +222,16 @@
         started_at_ms: int,
         versions: Mapping[ModelName, int],
     ) -> None:
-        """Notes versions that an engine was seen to hold before its entry says so."""
-        known_born, known = self._seen_versions.get(upstream_id, (started_at_ms, {}))
-        if known_born != started_at_ms:
+        """Records versions that an engine holds before its own entry lists them."""
+        known_start, known = self._seen_versions.get(upstream_id, (started_at_ms, {}))
+        if known_start != started_at_ms:
             known = {}
         for model, version in versions.items():
             known[model] = max(version, known.get(model, 0))
         self._seen_versions[upstream_id] = (started_at_ms, known)
 
     def get_version(self, upstream: Upstream, model: ModelName) -> int:
-        """The version of a model that an engine holds; 0 if it has none."""
+        """Returns the version of a model that an engine holds, or 0 if it has none."""
         version = int(upstream.versions.get(model, 0))
         started_at_ms, seen = self._seen_versions.get(
             upstream.id, (upstream.started_at_ms, {})
@@ -216,23 +243,24 @@
         )
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Finds the route with the longest prefix that begins the path.
+        """Returns the route with the longest path prefix that matches the path.
 
-        A route of the product's own interface is found by its name.
+        For the host ``API_HOST``, the path is the name of a route of the product's
+        own API.
         """
         if host == API_HOST:
-            return self._own_routes.get(path)
+            return self._api_routes.get(path)
         for route in self._routes.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
     def find_account(self, key: str) -> PlatformAccount | None:
-        """Finds the account that holds a key now."""
+        """Returns the account to which a key belongs, or None."""
         return self._accounts.get(key)
 
     def list_available_upstreams(self, service: ServiceName) -> list[Upstream]:
-        """Lists the upstreams of a service that may get new work."""
+        """Returns the upstreams of a service that may receive new requests."""
         return [
             upstream
             for upstream in self.upstreams.values()
@@ -243,9 +271,10 @@
         ]
 
     def get_models_by_service(self) -> dict[ServiceName, tuple[ModelName, ...]]:
-        """Lists the services whose upstreams hold models, and which models.
+        """Returns the models of each service whose upstreams hold models.
 
-        Those of services that are not configured are what their upstreams hold.
+        The models of a service that is not configured are those that its upstreams
+        hold.
         """
         configured = self.configuration.services if self.configuration else {}
         found: dict[ServiceName, set[ModelName]] = {}
--- a/buckthornstile/topology/tests/test_view.py
+++ b/buckthornstile/topology/tests/test_view.py
@@ -1,4 +1,4 @@
-"""What the view makes of late, lapsed and returning entries."""
+"""Tests of the view with delayed, expired and renewed entries of upstreams."""
 
 from buckthornstile.topology import (
     PlatformConfiguration,
@@ -23,71 +23,71 @@
     return Upstream(**fields)
 
 
-def list_names(view: TopologyView) -> list[str]:
+def list_available_ids(view: TopologyView) -> list[str]:
     return [upstream.id for upstream in view.list_available_upstreams("desk")]
 
 
-def test_late_write_does_not_undo_a_drain() -> None:
+def test_delayed_write_does_not_undo_a_drain() -> None:
     view = TopologyView()
     assert view.apply_upstream(make_upstream(5), 0.0)
     assert view.apply_upstream(make_upstream(7, is_draining=True), 1.0)
     assert not view.apply_upstream(make_upstream(6), 1.5)
-    assert list_names(view) == []
+    assert list_available_ids(view) == []
 
 
-def test_late_write_does_not_bring_a_removed_worker_back() -> None:
+def test_delayed_write_does_not_restore_a_removed_upstream() -> None:
     view = TopologyView()
     view.apply_upstream(make_upstream(5), 0.0)
     view.remove_upstream("w1", 1.0)
     assert not view.apply_upstream(make_upstream(6), 2.0)
-    assert list_names(view) == []
+    assert list_available_ids(view) == []
 
 
-def test_worker_that_goes_on_writing_is_back() -> None:
+def test_removed_upstream_that_keeps_writing_is_restored() -> None:
     view = TopologyView()
     view.apply_upstream(make_upstream(5), 0.0)
     view.remove_upstream("w1", 1.0)
     assert not view.apply_upstream(make_upstream(6), 2.0)
     assert view.apply_upstream(make_upstream(7), 3.2)
-    assert list_names(view) == ["w1"]
+    assert list_available_ids(view) == ["w1"]
 
 
-def test_new_incarnation_is_taken_at_once() -> None:
+def test_new_incarnation_of_a_removed_upstream_is_accepted_at_once() -> None:
     view = TopologyView()
     view.apply_upstream(make_upstream(50), 0.0)
     view.remove_upstream("w1", 1.0)
     assert view.apply_upstream(make_upstream(1, started_at_ms=20), 1.5)
-    assert list_names(view) == ["w1"]
+    assert list_available_ids(view) == ["w1"]
     assert not view.apply_upstream(make_upstream(51, started_at_ms=10), 1.6)
 
 
-def test_counts_that_start_anew_without_a_time_of_start_are_taken_later() -> None:
+def test_restarted_sequence_without_start_time_is_accepted_after_a_delay() -> None:
     view = TopologyView()
     view.apply_upstream(make_upstream(50, started_at_ms=0), 0.0)
     assert not view.apply_upstream(make_upstream(1, started_at_ms=0), 1.0)
     assert view.apply_upstream(make_upstream(8, started_at_ms=0), 7.0)
 
 
-def test_lapsed_entry_is_kept_then_gone_and_back_at_once() -> None:
+def test_expired_entry_is_kept_until_removal_and_restored_at_once() -> None:
     view = TopologyView()
     view.apply_upstream(make_upstream(5), 0.0)
     view.remove_upstream("w1", 1.0, until=3.0)
-    assert list_names(view) == ["w1"]
+    assert list_available_ids(view) == ["w1"]
     assert view.remove_expired(2.9) == []
     assert view.remove_expired(3.0) == ["w1"]
-    assert list_names(view) == []
+    assert list_available_ids(view) == []
     assert view.apply_upstream(make_upstream(9), 3.5)
 
 
-def test_whole_list_replaces_and_keeps_order() -> None:
+def test_replacing_upstreams_removes_the_missing_ones() -> None:
     view = TopologyView()
     view.apply_upstream(make_upstream(5), 0.0)
     view.apply_upstream(make_upstream(5, id="w2", port=9001), 0.0)
     view.replace_upstreams({"w2": make_upstream(6, id="w2", port=9001)}, 1.0, until=0)
-    assert list_names(view) == ["w2"]
+    assert list_available_ids(view) == ["w2"]
 
 
-def test_versions_seen_early_count_for_their_incarnation_only() -> None:
+def test_recorded_versions_apply_to_their_incarnation_only() -> None:
     view = TopologyView()
     upstream = make_upstream(versions={"llm": 3})
     view.apply_upstream(upstream, 0.0)
@@ -100,7 +100,7 @@
     assert view.get_version(upstream, "other") == 0
 
 
-def test_configuration_and_named_versions_only_go_forward() -> None:
+def test_configuration_and_target_versions_never_decrease() -> None:
     view = TopologyView()
     route = Route("r", "h", "/a/", RouteKind.IDEMPOTENT, (("desk", 1.0),), 1.0, 0.1)
     longer = Route("l", "h", "/a/b/", RouteKind.IDEMPOTENT, (("x", 1.0),), 1.0, 0.1)
