--- a/buckthornstile/configuration/__init__.py
+++ b/buckthornstile/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: keys, rules, drains, and how it changes."""
+"""The operators' configuration: accounts, keys, routes, rules, drains and changes."""
 
 from buckthornstile.configuration._api_keys import (
     GeneratedApiKey,
--- a/buckthornstile/configuration/_api_keys.py
+++ b/buckthornstile/configuration/_api_keys.py
@@ -1,4 +1,4 @@
-"""Client accounts' keys: made here, known afterwards by their digest only."""
+"""Generation of client accounts' keys, of which only the digest is stored."""
 
 import base64
 import hashlib
@@ -10,16 +10,18 @@
 
 KEY_PREFIX = "bk_"
 KEY_BYTES = 32
+"""Random bytes of a key."""
 KEY_ID_BYTES = 4
+"""Random bytes of a generated key id."""
 
 
 @dataclass(frozen=True, slots=True)
 class GeneratedApiKey:
-    """A key at the one moment when its clear text is known.
+    """A new key, with the clear text that is not stored.
 
     Args:
-        clear: The clear text, for the client account; shown once.
-        item: What the configuration keeps.
+        clear: The clear text for the client account, which is shown once.
+        item: The key's configuration item, which holds only the digest.
     """
 
     clear: str = field(repr=False)
@@ -27,9 +29,9 @@
 
 
 def hash_api_key(text: str) -> str:
-    """Digests a key's clear text.
+    """Returns the digest of a key's clear text.
 
-    A key holds 256 random bits, so a plain digest cannot be searched.
+    A plain digest is sufficient, as a key holds 256 random bits, too many to search.
 
     Args:
         text: The clear text.
@@ -47,16 +49,17 @@
 def generate_api_key(
     account: AccountId, *, token_bytes: Callable[[int], bytes], name: str = ""
 ) -> GeneratedApiKey:
-    """Makes a key for a client account.
+    """Generates a key for a client account.
 
     Args:
         account: The client account.
-        token_bytes: Gives that many unpredictable bytes, as
-            :func:`secrets.token_bytes` does.
-        name: The key's public id, or empty for one made from the account's.
+        token_bytes: Function that returns the given number of unpredictable bytes,
+            as :func:`secrets.token_bytes` does.
+        name: The key's public id. If it is empty, an id is generated from the
+            account's.
 
     Returns:
-        The key in clear and its configuration item.
+        The clear text of the key and its configuration item.
 
     Example:
         >>> key = generate_api_key(AccountId("mill-7"), token_bytes=lambda n: bytes(n))
--- a/buckthornstile/configuration/_change.py
+++ b/buckthornstile/configuration/_change.py
@@ -1,4 +1,4 @@
-"""Checks a change against one revision and works out the next."""
+"""Validation of a change and its application to a configuration."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -27,10 +27,13 @@
 )
 
 MAX_CONFIGURATION_BYTES = 900_000
-"""Bytes of all items together, so that a sheet fits into one append."""
+"""Maximum bytes of all items together, so that a whole sheet fits into one append."""
 
 MAX_PATH_LENGTH = 512
-MAX_REASON_LENGTH = 512
+"""Maximum characters of a path."""
+
+MAX_TEXT_LENGTH = 512
+"""Maximum characters of a drain's reason and of an operator's name."""
 
 _ITEMS: TypeAdapter[tuple[ConfigurationItem, ...]] = TypeAdapter(
     tuple[ConfigurationItem, ...]
@@ -38,7 +41,7 @@
 
 
 class ChangeError(BuckthornstileError):
-    """A change that the fold rejects.
+    """Raised when a change is based on another revision or is invalid.
 
     Example:
         >>> ChangeError(ErrorCode.CONFIGURATION_CONFLICT, "base is old").message
@@ -49,19 +52,20 @@
 def apply_change(
     configuration: Configuration, change: ConfigurationChange, *, offset: int
 ) -> Configuration:
-    """Works out the configuration after a change.
+    """Returns the configuration that results from a change.
 
     Args:
-        configuration: The configuration before it.
+        configuration: The current configuration.
         change: The change.
-        offset: The offset of the change's record.
+        offset: The offset of the change's record in the store.
 
     Returns:
         The next revision.
 
     Raises:
-        ChangeError: Its base is another revision (``CONFIGURATION_CONFLICT``),
-            or the outcome would be invalid (``CONFIGURATION_INVALID``).
+        ChangeError: With ``CONFIGURATION_CONFLICT`` if the change is based on another
+            revision, or ``CONFIGURATION_INVALID`` if the change or the resulting
+            configuration is invalid.
 
     Example:
         >>> change = ConfigurationChange(
@@ -76,14 +80,14 @@
             f"the change is based on revision {change.base_revision}; "
             f"the current one is {configuration.revision}",
         )
-    _check_texts(change)
+    _check_text_fields(change)
     items = {(item.kind, item.name): item for item in configuration.list_items()}
-    _check_distinct(change)
-    for name in change.remove:
-        if name.kind == "key":
-            raise _make_error(f"key {name.name} can be withdrawn, but not removed")
-        if items.pop((name.kind, name.name), None) is None:
-            raise _make_error(f"{name.kind} {name.name} does not exist")
+    _check_no_duplicates(change)
+    for reference in change.remove:
+        if reference.kind == "key":
+            raise _make_error(f"key {reference.name} can be withdrawn, but not removed")
+        if items.pop((reference.kind, reference.name), None) is None:
+            raise _make_error(f"{reference.kind} {reference.name} does not exist")
     for item in change.put:
         if isinstance(item, ApiKey):
             _check_key(configuration, item)
@@ -102,21 +106,21 @@
     return ChangeError(ErrorCode.CONFIGURATION_INVALID, message)
 
 
-def _check_texts(change: ConfigurationChange) -> None:
+def _check_text_fields(change: ConfigurationChange) -> None:
     try:
         check_name("change_id", change.change_id)
     except ValueError as error:
         raise _make_error(str(error)) from error
-    if len(change.operator) > MAX_REASON_LENGTH:
-        raise _make_error(f"operator must have at most {MAX_REASON_LENGTH} letters")
+    if len(change.operator) > MAX_TEXT_LENGTH:
+        raise _make_error(f"operator must have at most {MAX_TEXT_LENGTH} characters")
 
 
-def _check_distinct(change: ConfigurationChange) -> None:
+def _check_no_duplicates(change: ConfigurationChange) -> None:
     names = Counter((item.kind, str(item.name)) for item in change.put)
-    names.update((name.kind, name.name) for name in change.remove)
+    names.update((reference.kind, reference.name) for reference in change.remove)
     for (kind, name), count in names.items():
         if count > 1:
-            raise _make_error(f"{kind} {name} stands {count} times in one change")
+            raise _make_error(f"{kind} {name} occurs {count} times in one change")
 
 
 def _check_key(configuration: Configuration, key: ApiKey) -> None:
@@ -126,7 +130,7 @@
     if (before.digest, before.account) != (key.digest, key.account):
         raise _make_error(f"key {key.name} exists with another digest or account")
     if before.withdrawn and not key.withdrawn:
-        raise _make_error(f"key {key.name} is withdrawn and cannot come back")
+        raise _make_error(f"key {key.name} is withdrawn and cannot be restored")
 
 
 def _check_items(items: Iterable[ConfigurationItem]) -> None:
@@ -144,21 +148,27 @@
                 f"{MAX_PATH_LENGTH} characters"
             )
         if isinstance(item, Account) and item.name == ANY_ACCOUNT:
-            raise _make_error(f"account {ANY_ACCOUNT} stands for any account")
-        if len(getattr(item, "reason", "")) > MAX_REASON_LENGTH:
-            raise _make_error(f"reason must have at most {MAX_REASON_LENGTH} letters")
+            raise _make_error(
+                f"account name {ANY_ACCOUNT} is reserved, as it matches any account"
+            )
+        if len(getattr(item, "reason", "")) > MAX_TEXT_LENGTH:
+            raise _make_error(f"reason must have at most {MAX_TEXT_LENGTH} characters")
 
 
 def _check_references(after: Configuration) -> None:
     for key in after.keys.values():
         if not key.withdrawn and key.account not in after.accounts:
-            raise _make_error(f"key {key.name} names no account: {key.account}")
+            raise _make_error(
+                f"key {key.name} refers to an unknown account: {key.account}"
+            )
     for route in after.open_routes.values():
         if route.account not in after.accounts:
-            raise _make_error(f"open_route {route.name} names no account")
+            raise _make_error(f"open_route {route.name} refers to an unknown account")
     for rule in after.rules.values():
         if rule.account != ANY_ACCOUNT and rule.account not in after.accounts:
-            raise _make_error(f"rule {rule.name} names no account: {rule.account}")
+            raise _make_error(
+                f"rule {rule.name} refers to an unknown account: {rule.account}"
+            )
 
 
 def _check_uniqueness(after: Configuration) -> None:
@@ -172,7 +182,7 @@
     for (path, account, trainer), count in callers.items():
         if count > 1:
             raise _make_error(
-                f"{count} rules hold for path {path or '/'}, "
+                f"{count} rules apply to path {path or '/'}, "
                 f"account {account}, trainer {trainer}"
             )
 
--- a/buckthornstile/configuration/_items.py
+++ b/buckthornstile/configuration/_items.py
@@ -1,4 +1,4 @@
-"""The items of which the operators' configuration consists."""
+"""Items of the operators' configuration."""
 
 from typing import Annotated, Literal
 
@@ -28,7 +28,7 @@
     Args:
         name: The account's id.
         weight: Its share of contended upstreams, relative to other accounts.
-        maximum_open: Open requests per entry above which calls are refused.
+        maximum_open: Maximum number of open requests at one entry; more are refused.
 
     Example:
         >>> Account(name="mill-7").weight
@@ -42,13 +42,13 @@
 
 
 class ApiKey(_Item):
-    """A client account's key, known by its digest only.
+    """A client account's key, of which only the digest is stored.
 
     Args:
         name: The key's public id.
-        account: The account that it stands for.
+        account: The account to which it belongs.
         digest: SHA-256 of the key, 64 hexadecimal digits.
-        withdrawn: Whether the key has stopped working. Never reverts.
+        withdrawn: Whether the key has been withdrawn, which cannot be undone.
 
     Example:
         >>> ApiKey(name="k1", account="mill-7", digest="0" * 64).withdrawn
@@ -66,11 +66,11 @@
     """A route that needs no key.
 
     Args:
-        name: The path, from its first slash.
+        name: The path, with its leading slash.
         service: The service that serves it.
         account: The client account that its usage is billed to.
-        request_class: Who waits on it.
-        idempotent: Whether its calls may be repeated.
+        request_class: Class of the requests, which determines their order of service.
+        idempotent: Whether its calls may be executed more than once.
 
     Example:
         >>> OpenRoute(name="/v1/hours", service="shop-desk", account="open").idempotent
@@ -86,20 +86,21 @@
 
 
 class Rule(_Item):
-    """Which service serves which caller or trainer on a route, and how.
+    """The service for the requests of a caller or trainer on a path.
 
-    The most specific rule wins: longest path first, then a named account over
-    any, then a named trainer over any.
+    The most specific rule applies: the one with the longest path, then one for a
+    named account, then one for a named trainer.
 
     Args:
-        name: The rule's own name.
-        path: The path prefix that it holds for, from its first slash.
+        name: The rule's name.
+        path: The path prefix to which it applies, with its leading slash.
         account: The client account, or ``*`` for any.
         trainer: The trainer, or ``*`` for any.
-        service: The service that serves it.
-        request_class: Who waits on it.
-        idempotent: Whether its calls may be repeated.
-        maximum_age: Weight versions that a sample may be behind its trainer.
+        service: The service that serves the requests.
+        request_class: Class of the requests, which determines their order of service.
+        idempotent: Whether its calls may be executed more than once.
+        maximum_age: Number of weight versions by which a sample may be behind its
+            trainer.
 
     Example:
         >>> Rule(name="r", path="/v1/completions", service="m").maximum_age
@@ -118,11 +119,11 @@
 
 
 class Drain(_Item):
-    """A failure domain that gets no new work.
+    """A failure domain that receives no new requests.
 
     Args:
         name: The failure domain.
-        reason: Why, for other operators.
+        reason: Reason for the drain, shown to other operators.
 
     Example:
         >>> Drain(name="bench-a").kind
@@ -141,7 +142,7 @@
 
 
 class ItemReference(_Item):
-    """The kind and name by which an item is removed.
+    """Reference to an item, by its kind and name.
 
     Example:
         >>> ItemReference(kind="drain", name="bench-a").name
@@ -153,14 +154,14 @@
 
 
 class ConfigurationChange(BaseModel):
-    """One operator's change, whole: accepted or rejected by the fold as one.
+    """An operator's change, which is accepted or rejected as a whole.
 
     Args:
-        change_id: The same on every retry of the same change.
-        base_revision: The revision that the change was worked out from.
+        change_id: Id of the change, the same in every retry.
+        base_revision: The revision on which the change is based.
         put: Items to add or replace.
         remove: Items to remove.
-        operator: Who made the change.
+        operator: Name of the operator who made the change.
 
     Example:
         >>> ConfigurationChange(change_id="c1", base_revision=0).put
--- a/buckthornstile/configuration/_model.py
+++ b/buckthornstile/configuration/_model.py
@@ -1,4 +1,4 @@
-"""One revision of the configuration, indexed for the request path."""
+"""A revision of the configuration, with indexes for lookups on each request."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -27,13 +27,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """The configuration at one revision; a value that never changes.
+    """The configuration at one revision; immutable.
 
     Args:
-        revision: The number of accepted changes that made it.
-        last_offset: The offset of the record that made it.
+        revision: Number of changes accepted so far.
+        last_offset: Offset of the record of the last change.
         accounts: Client accounts by name.
-        keys: Keys by public id, also the withdrawn ones.
+        keys: Keys by public id, including withdrawn ones.
         open_routes: Open routes by path.
         rules: Rules by name.
         drains: Drained failure domains by name.
@@ -58,7 +58,7 @@
     _longest_path: int = field(default=0, repr=False, compare=False)
 
     def find_api_key(self, digest: str) -> ApiKey | None:
-        """Finds a key by its digest; it may be withdrawn.
+        """Returns the key with a digest, which may be withdrawn, or None.
 
         Example:
             >>> EMPTY_CONFIGURATION.find_api_key("0" * 64) is None
@@ -67,7 +67,7 @@
         return self._keys_by_digest.get(digest)
 
     def find_open_route(self, path: str) -> OpenRoute | None:
-        """Finds the open route of exactly this path.
+        """Returns the open route with exactly this path, or None.
 
         Example:
             >>> EMPTY_CONFIGURATION.find_open_route("/v1/hours") is None
@@ -78,17 +78,18 @@
     def find_rule(
         self, path: str, account: AccountId, trainer: str = ANY_TRAINER
     ) -> Rule | None:
-        """Finds the most specific rule for a request.
+        """Returns the most specific rule for a request.
 
-        The longest path prefix wins, then a named account, then a named trainer.
+        This is the rule with the longest path prefix, then one for a named account,
+        then one for a named trainer.
 
         Args:
             path: The request's path, without its query.
             account: The client account.
-            trainer: The trainer, or ``*`` for a request of none.
+            trainer: The trainer, or ``*`` if the request has none.
 
         Returns:
-            The rule, or None if no rule serves the request.
+            The rule, or None if no rule applies.
 
         Example:
             >>> rule = Rule(name="r", path="/v1", service="models")
@@ -100,7 +101,7 @@
         """
         prefix = normalise_path(path)
         if len(prefix) > self._longest_path:
-            # One character more keeps the cut on a segment bound visible.
+            # The extra character shows whether the cut falls on a segment boundary.
             prefix = prefix[: self._longest_path + 1].rpartition("/")[0]
         while True:
             rules = self._rules_by_path.get(prefix)
@@ -118,7 +119,7 @@
             prefix = prefix.rpartition("/")[0]
 
     def is_drained(self, failure_domain: FailureDomain) -> bool:
-        """Tells whether a failure domain gets no new work.
+        """Whether a failure domain is drained.
 
         Example:
             >>> make_configuration([Drain(name="bench-a")]).is_drained("bench-a")
@@ -127,7 +128,7 @@
         return failure_domain in self.drains
 
     def list_items(self) -> tuple[ConfigurationItem, ...]:
-        """Lists all items, ordered by kind and name.
+        """Returns all items, ordered by kind and name.
 
         Example:
             >>> [i.kind for i in make_configuration([Drain(name="a")]).list_items()]
@@ -144,7 +145,7 @@
 
 
 def normalise_path(path: str) -> str:
-    """Drops trailing slashes, so that the root's prefix is empty.
+    """Removes trailing slashes, so that the prefix of the root is empty.
 
     Example:
         >>> normalise_path("/v1/")
@@ -159,23 +160,23 @@
     revision: int = 0,
     last_offset: int = NO_OFFSET,
 ) -> Configuration:
-    """Makes a configuration of items that were checked before.
+    """Builds a configuration from items that have been validated.
 
     Args:
         items: The items, in any order.
-        revision: The number of accepted changes that made it.
-        last_offset: The offset of the record that made it.
+        revision: Number of changes accepted so far.
+        last_offset: Offset of the record of the last change.
 
     Returns:
-        The configuration with its indexes.
+        The configuration, with its indexes.
 
     Example:
         >>> make_configuration([Account(name="mill-7")], revision=3).revision
         3
     """
-    every = tuple(items)
-    keys = [item for item in every if isinstance(item, ApiKey)]
-    rules = [item for item in every if isinstance(item, Rule)]
+    all_items = tuple(items)
+    keys = [item for item in all_items if isinstance(item, ApiKey)]
+    rules = [item for item in all_items if isinstance(item, Rule)]
     index: dict[str, dict[tuple[str, str], Rule]] = {}
     for rule in rules:
         by_caller = index.setdefault(normalise_path(rule.path), {})
@@ -183,11 +184,13 @@
     return Configuration(
         revision=Revision(revision),
         last_offset=Offset(last_offset),
-        accounts={i.name: i for i in every if isinstance(i, Account)},
+        accounts={item.name: item for item in all_items if isinstance(item, Account)},
         keys={key.name: key for key in keys},
-        open_routes={i.name: i for i in every if isinstance(i, OpenRoute)},
+        open_routes={
+            item.name: item for item in all_items if isinstance(item, OpenRoute)
+        },
         rules={rule.name: rule for rule in rules},
-        drains={i.name: i for i in every if isinstance(i, Drain)},
+        drains={item.name: item for item in all_items if isinstance(item, Drain)},
         _keys_by_digest={key.digest: key for key in keys},
         _rules_by_path=index,
         _longest_path=max(map(len, index), default=0),
--- a/buckthornstile/configuration/_records.py
+++ b/buckthornstile/configuration/_records.py
@@ -1,8 +1,8 @@
-"""How the configuration stands in a keyed topic of the store.
+"""Encoding of the configuration as records of a keyed topic in the store.
 
-Each item is a record of its own. One append holds all items that a change puts or
-drops and, as the last record, a note of the change, so that a reader who has come to
-the end of the topic has seen every change whole.
+Each item is a separate record. All records of a change are written in one append, with
+the summary of the change last, so that a reader that has reached the end of the topic
+has read every change completely.
 """
 
 import hashlib
@@ -17,8 +17,8 @@
     ItemReference,
 )
 
-KEPT_CHANGES = 64
-"""Notes of changes that are kept for the history and for retries."""
+MAX_RETAINED_CHANGES = 64
+"""Number of summaries that are kept, for the history and to recognise retries."""
 ITEM_PREFIX = "item/"
 CHANGE_PREFIX = "change/"
 KEY_DIGEST_BYTES = 16
@@ -27,19 +27,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRecord:
-    """A record of the topic; an empty value drops the key."""
+    """A record of the topic; an empty value deletes the key."""
 
     key: str
     value: bytes
 
 
 class ChangeSummary(BaseModel):
-    """What is kept of an accepted change.
+    """Summary of an accepted change.
 
     Args:
-        revision: The revision that it made.
-        change_id: The same on every retry of the same change.
-        operator: Who made it.
+        revision: The revision that resulted from it.
+        change_id: Id of the change, the same in every retry.
+        operator: Name of the operator who made it.
         put: Kind and name of each item added or replaced.
         remove: Kind and name of each item removed.
 
@@ -63,7 +63,7 @@
         change: The change, checked against its base revision.
 
     Returns:
-        The records, the note of the change last.
+        The records, with the summary of the change last.
 
     Example:
         >>> change = ConfigurationChange(change_id="c1", base_revision=0)
@@ -71,7 +71,7 @@
         ['change/1']
     """
     revision = Revision(change.base_revision + 1)
-    note = ChangeSummary(
+    summary = ChangeSummary(
         revision=revision,
         change_id=change.change_id,
         operator=change.operator,
@@ -83,24 +83,24 @@
         for item in change.put
     ]
     records += [
-        ConfigurationRecord(make_item_key(name.kind, name.name), b"")
-        for name in change.remove
+        ConfigurationRecord(make_item_key(reference.kind, reference.name), b"")
+        for reference in change.remove
     ]
-    key = f"{CHANGE_PREFIX}{revision % KEPT_CHANGES}"
-    return [*records, ConfigurationRecord(key, note.model_dump_json().encode())]
+    key = f"{CHANGE_PREFIX}{revision % MAX_RETAINED_CHANGES}"
+    return [*records, ConfigurationRecord(key, summary.model_dump_json().encode())]
 
 
 def decode_item(value: bytes) -> ConfigurationItem:
     """Decodes an item.
 
     Raises:
-        ValueError: It is no item.
+        ValueError: If the value is not an item.
     """
     return _ITEM.validate_json(value)
 
 
 def make_item_key(kind: str, name: str) -> str:
-    """Makes an item's key, short whatever its name.
+    """Returns the key of an item's record, whose length does not depend on the name.
 
     Example:
         >>> make_item_key("drain", "bench-a")
--- a/buckthornstile/configuration/_state.py
+++ b/buckthornstile/configuration/_state.py
@@ -1,4 +1,4 @@
-"""The configuration as one process knows it, folded from the store's records."""
+"""One process's configuration, built from the records in the store."""
 
 from buckthornstile.base import ChangeId, Offset, Revision
 from buckthornstile.configuration._items import ConfigurationItem
@@ -16,40 +16,40 @@
 
 
 class ConfigurationState:
-    """Folds the records of the configuration's topic.
+    """Builds the configuration from the records of its topic.
 
-    Records are gathered as they come, and put in force together once the reader has
-    come to the end of the topic. The configuration only moves forward: a store that
-    answers with an older state changes nothing.
+    Records are collected as they are read, and take effect together once the reader
+    has reached the end of the topic. The revision never decreases: an older state
+    from the store is ignored.
 
     Example:
-        >>> fold = ConfigurationState()
-        >>> fold.commit(), fold.current.revision
+        >>> state = ConfigurationState()
+        >>> state.commit(), state.current.revision
         (False, 0)
     """
 
     def __init__(self) -> None:
         self.current: Configuration = EMPTY_CONFIGURATION
         self._items: dict[str, ConfigurationItem] = {}
-        self._notes: dict[str, ChangeSummary] = {}
-        self._through = Offset(-1)
+        self._summaries: dict[str, ChangeSummary] = {}
+        self._last_offset = Offset(-1)
 
     def reset(self) -> None:
-        """Forgets the gathered records, before the newest of all are read again."""
+        """Discards the collected records, before the latest records are read again."""
         self._items.clear()
-        self._notes.clear()
-        self._through = Offset(-1)
+        self._summaries.clear()
+        self._last_offset = Offset(-1)
 
     def apply(self, offset: Offset, key: str, value: bytes | None) -> None:
-        """Gathers one record.
+        """Collects a record.
 
         Args:
             offset: Its offset.
             key: Its key.
-            value: Its value, or None if the key was dropped.
+            value: Its value, or None if the key was deleted.
 
         Raises:
-            ValueError: It is no record of the configuration.
+            ValueError: If the record does not belong to the configuration.
         """
         if key.startswith(ITEM_PREFIX):
             if value is None:
@@ -57,32 +57,34 @@
             else:
                 self._items[key] = decode_item(value)
         elif key.startswith(CHANGE_PREFIX) and value is not None:
-            self._notes[key] = ChangeSummary.model_validate_json(value)
-            self._through = max(self._through, offset)
+            self._summaries[key] = ChangeSummary.model_validate_json(value)
+            self._last_offset = max(self._last_offset, offset)
         elif not key.startswith(CHANGE_PREFIX):
-            raise ValueError(f"key {key!r} names no record of the configuration")
+            raise ValueError(f"key {key!r} is not the key of a configuration record")
 
     def commit(self) -> bool:
-        """Puts what was gathered in force, at the end of the topic.
+        """Puts the collected records in effect, at the end of the topic.
 
         Returns:
-            Whether a newer configuration is in force now.
+            Whether the configuration has changed to a newer revision.
         """
-        revision = max((note.revision for note in self._notes.values()), default=0)
+        revision = max(
+            (summary.revision for summary in self._summaries.values()), default=0
+        )
         if revision <= self.current.revision:
             return False
         self.current = make_configuration(
-            self._items.values(), revision=revision, last_offset=self._through
+            self._items.values(), revision=revision, last_offset=self._last_offset
         )
         return True
 
     def find_revision(self, change_id: ChangeId) -> Revision | None:
-        """Finds the revision that a recent change made, or None."""
-        for note in self._notes.values():
-            if note.change_id == change_id:
-                return note.revision
+        """Returns the revision that resulted from a recent change, or None."""
+        for summary in self._summaries.values():
+            if summary.change_id == change_id:
+                return summary.revision
         return None
 
     def list_recent_changes(self) -> list[ChangeSummary]:
-        """Lists the recent changes, the oldest first."""
-        return sorted(self._notes.values(), key=lambda note: note.revision)
+        """Returns the summaries of the recent changes, oldest first."""
+        return sorted(self._summaries.values(), key=lambda summary: summary.revision)
