--- a/buckthornstile/configuration/tests/test_interleavings.py
+++ b/buckthornstile/configuration/tests/test_interleavings.py
@@ -1,6 +1,7 @@
-"""Operators and readers under every interleaving, and naive forms.
+"""State machine test of operators and readers that interleave their steps.
 
-The oracle keeps each accepted change in the order in which the store took it.
+The oracle is the history of accepted changes, in the order in which the store accepted
+them. Faulty variants of the reader and of the store must fail the same checks.
 """
 
 import pytest
@@ -22,125 +23,133 @@
 )
 from buckthornstile.configuration.tests.memory_store import (
     MemoryStore,
-    Reader,
+    TopicReader,
     make_change,
 )
 
-READERS = st.integers(0, 2)
-OPERATORS = st.integers(0, 1)
-DOMAINS = st.sampled_from(["bench-a", "bench-b", "grind-room"])
+READER_INDICES = st.integers(0, 2)
+OPERATOR_INDICES = st.integers(0, 1)
+FAILURE_DOMAINS = st.sampled_from(["bench-a", "bench-b", "grind-room"])
 
 
 class Deployment(RuleBasedStateMachine):
-    reader_type = Reader
-    fold_type = ConfigurationState
-    has_condition = True
+    reader_type = TopicReader
+    state_type = ConfigurationState
+    checks_offset = True
 
     def __init__(self):
         super().__init__()
         self.store = MemoryStore()
         self.history = [EMPTY_CONFIGURATION]
         self.readers = [self.make_reader() for _ in range(3)]
-        self.seen = [0] * 3
-        self.operators = [Reader(self.store) for _ in range(2)]
-        self.pages = [None] * 3
-        self.late = []
-        self.count = 0
+        self.last_revisions = [0] * 3
+        self.operators = [TopicReader(self.store) for _ in range(2)]
+        self.snapshots = [None] * 3
+        self.late_appends = []
+        self.change_count = 0
 
     def make_reader(self):
-        return self.reader_type(self.store, self.fold_type())
+        return self.reader_type(self.store, self.state_type())
 
-    def take(self, change, at):
-        """The store carries out an append, now or late."""
-        if self.store.append(change, at=at if self.has_condition else None):
+    def execute_append(self, change, at):
+        """Executes an append in the store, immediately or late."""
+        if self.store.append_change(change, at=at if self.checks_offset else None):
             base = self.history[-1]
             rebased = change.model_copy(update={"base_revision": base.revision})
             after = apply_change(base, rebased, offset=self.store.partition.end - 1)
             self.history.append(after)
 
-    @rule(operator=OPERATORS)
+    @rule(operator=OPERATOR_INDICES)
     def operator_reads(self, operator):
         self.operators[operator].read()
 
-    @rule(operator=OPERATORS, domain=DOMAINS, fate=st.sampled_from(["done", "late"]))
-    def operator_appends(self, operator, domain, fate):
+    @rule(
+        operator=OPERATOR_INDICES,
+        failure_domain=FAILURE_DOMAINS,
+        execution=st.sampled_from(["immediate", "late"]),
+    )
+    def operator_appends(self, operator, failure_domain, execution):
         reader = self.operators[operator]
-        if reader.position is None:
+        if reader.offset is None:
             return
-        self.count += 1
-        # Two items of one change, which must be in force together.
+        self.change_count += 1
+        # Both items of the change must take effect together.
         change = make_change(
-            f"c{self.count}",
-            reader.fold.current.revision,
-            Drain(name=domain, reason=str(self.count)),
-            Rule(name="r", path=f"/{self.count}", service="s"),
+            f"c{self.change_count}",
+            reader.state.current.revision,
+            Drain(name=failure_domain, reason=str(self.change_count)),
+            Rule(name="r", path=f"/{self.change_count}", service="s"),
         )
-        if fate == "late":
-            self.late.append((change, reader.position))
+        if execution == "late":
+            self.late_appends.append((change, reader.offset))
         else:
-            self.take(change, reader.position)
+            self.execute_append(change, reader.offset)
 
     @rule(index=st.integers(0, 9))
-    def late_append_is_carried_out(self, index):
-        if self.late:
-            self.take(*self.late.pop(index % len(self.late)))
+    def late_append_is_executed(self, index):
+        if self.late_appends:
+            self.execute_append(*self.late_appends.pop(index % len(self.late_appends)))
 
-    @rule(reader=READERS, limit=st.integers(1, 4))
-    def read(self, reader, limit):
-        self.readers[reader].read(limit)
+    @rule(reader=READER_INDICES, max_records=st.integers(1, 4))
+    def read(self, reader, max_records):
+        self.readers[reader].read(max_records)
 
-    @rule(reader=READERS)
+    @rule(reader=READER_INDICES)
     def read_first_page(self, reader):
-        self.pages[reader] = self.store.read_pages()
+        self.snapshots[reader] = self.store.read_latest()
 
-    @rule(reader=READERS, cut=st.integers(1, 4))
-    def read_last_page(self, reader, cut):
-        """Later pages show later changes than the first one."""
-        if self.pages[reader] is None:
+    @rule(reader=READER_INDICES, page_size=st.integers(1, 4))
+    def read_last_page(self, reader, page_size):
+        """Completes a snapshot with records that may be newer than its first page."""
+        if self.snapshots[reader] is None:
             return
-        first, end = self.pages[reader]
-        self.pages[reader] = None
-        last = first[:cut][-1][1] if first else ""
-        rest = [one for one in self.store.read_pages()[0] if one[1] > last]
-        self.readers[reader].take_pages((first[:cut] + rest, end))
-
-    @rule(reader=READERS)
+        first, end = self.snapshots[reader]
+        self.snapshots[reader] = None
+        last_key = first[:page_size][-1][1] if first else ""
+        rest = [
+            record for record in self.store.read_latest()[0] if record[1] > last_key
+        ]
+        self.readers[reader].apply_snapshot((first[:page_size] + rest, end))
+
+    @rule(reader=READER_INDICES)
     def restart(self, reader):
         self.readers[reader] = self.make_reader()
-        self.pages[reader] = None
-        self.seen[reader] = 0
+        self.snapshots[reader] = None
+        self.last_revisions[reader] = 0
 
     @rule()
     def drop_history(self):
         self.store.partition.drop_history()
 
     @invariant()
-    def no_process_goes_back(self):
+    def revision_never_decreases(self):
         for index, reader in enumerate(self.readers):
-            revision = reader.fold.current.revision
-            assert revision >= self.seen[index]
-            self.seen[index] = revision
+            revision = reader.state.current.revision
+            assert revision >= self.last_revisions[index]
+            self.last_revisions[index] = revision
 
     @invariant()
-    def one_revision_has_one_content(self):
+    def items_match_the_accepted_revision(self):
         for reader in self.readers:
-            current = reader.fold.current
+            current = reader.state.current
             assert current.revision < len(self.history)
-            wanted = self.history[current.revision]
-            assert current.list_items() == wanted.list_items()
+            expected = self.history[current.revision]
+            assert current.list_items() == expected.list_items()
 
     def teardown(self):
-        """Once all is well again, every process comes to the newest revision."""
+        """Checks that every reader that reads to the end has the latest revision."""
         for reader in self.readers:
             reader.read()
-            assert reader.fold.current.list_items() == self.history[-1].list_items()
+            assert reader.state.current.list_items() == self.history[-1].list_items()
 
 
-def run(examples, phases, **members):
+def run_machine(max_examples, phases, **members):
+    # Hypothesis derives the seed from the source of Deployment: a change of the class,
+    # even of a docstring, draws other examples.
     run_state_machine_as_test(
         type("Deployment", (Deployment,), members),
         settings=settings(
-            max_examples=examples,
+            max_examples=max_examples,
             stateful_step_count=40,
             derandomize=True,
             deadline=None,
@@ -151,35 +160,35 @@
     )
 
 
-class SettlesAtOnce(ConfigurationState):
-    """Puts each record in force as it comes."""
+class CommitEachRecordState(ConfigurationState):
+    """Faulty variant that commits each record as soon as it is read."""
 
     def apply(self, offset, key, value):
         super().apply(offset, key, value)
         self.commit()
 
 
-class SettlesPages(Reader):
-    """Takes pages for a snapshot."""
+class CommitSnapshotReader(TopicReader):
+    """Faulty variant that commits the pages as if they were a consistent snapshot."""
 
-    def take_pages(self, pages):
-        super().take_pages(pages)
-        self.fold.commit()
+    def apply_snapshot(self, snapshot):
+        super().apply_snapshot(snapshot)
+        self.state.commit()
 
 
-def test_no_process_goes_back_and_all_converge():
-    run(200, tuple(Phase))
+def test_no_reader_returns_to_an_older_revision_and_all_converge():
+    run_machine(200, tuple(Phase))
 
 
 @pytest.mark.parametrize(
     "members",
     [
-        {"fold_type": SettlesAtOnce},
-        {"reader_type": SettlesPages},
-        {"has_condition": False},
+        {"state_type": CommitEachRecordState},
+        {"reader_type": CommitSnapshotReader},
+        {"checks_offset": False},
     ],
-    ids=["settles at once", "settles pages", "no condition"],
+    ids=["commits each record", "commits snapshots", "store does not check the offset"],
 )
-def test_a_naive_form_breaks_the_promise(members):
+def test_faulty_variant_fails_the_checks(members):
     with pytest.raises(AssertionError):
-        run(400, (Phase.generate,), **members)
+        run_machine(400, (Phase.generate,), **members)
--- a/buckthornstile/configuration/tests/test_withdrawal.py
+++ b/buckthornstile/configuration/tests/test_withdrawal.py
@@ -20,17 +20,17 @@
 )
 from buckthornstile.configuration.tests.memory_store import (
     MemoryStore,
-    Reader,
+    TopicReader,
     make_change,
 )
 
 scenarios("withdrawal.feature")
 
 
-class World:
+class ScenarioContext:
     def __init__(self):
         self.store = MemoryStore()
-        self.reader = Reader(self.store)
+        self.reader = TopicReader(self.store)
         self.new_key = generate_api_key(
             "mill-7", token_bytes=random.Random(7).randbytes
         )
@@ -39,10 +39,10 @@
 
     @property
     def current(self):
-        return self.reader.fold.current
+        return self.reader.state.current
 
-    def apply(self, *items, remove=(), change_id=None):
-        """Submits a change, which is checked before the store sees it."""
+    def submit_change(self, *items, remove=(), change_id=None):
+        """Submits a change if it is valid, and otherwise keeps the error."""
         self.reader.read()
         self.before = self.current
         revision = self.before.revision
@@ -54,40 +54,44 @@
         except ChangeError as error:
             self.error = error
             return
-        assert self.store.append(change, at=self.reader.position)
+        assert self.store.append_change(change, at=self.reader.offset)
         self.reader.read()
 
 
 @pytest.fixture
-def world():
-    return World()
+def context():
+    return ScenarioContext()
 
 
 @given('client account "mill-7" has a key')
-def _(world):
+def _(context):
     accounts = (Account(name="mill-7"), Account(name="mill-8"))
-    world.apply(*accounts, world.new_key.item)
-    assert world.error is None
-    found = world.current.find_api_key(hash_api_key(world.new_key.clear))
+    context.submit_change(*accounts, context.new_key.item)
+    assert context.error is None
+    found = context.current.find_api_key(hash_api_key(context.new_key.clear))
     assert not found.withdrawn
 
 
 @when("operators withdraw the key")
-def _(world):
-    world.apply(world.new_key.item.model_copy(update={"withdrawn": True}))
-    assert world.error is None
+def _(context):
+    context.submit_change(context.new_key.item.model_copy(update={"withdrawn": True}))
+    assert context.error is None
 
 
 @when(parsers.parse("operators try to {attempt}"))
-def _(world, attempt):
-    key = world.new_key.item
+def _(context, attempt):
+    key = context.new_key.item
     digest = hash_api_key("another")
     rule = Rule(name="r1", path="/v1", service="s")
     attempts = {
-        "put the key in force again": [key],
-        "add it under another name": [key.model_copy(update={"name": "k2"})],
-        "move it to another account": [key.model_copy(update={"account": "mill-8"})],
-        "replace its digest": [ApiKey(name=key.name, account="mill-7", digest=digest)],
+        "put the key in effect again": [key],
+        "add the key under another name": [key.model_copy(update={"name": "k2"})],
+        "move the key to another account": [
+            key.model_copy(update={"account": "mill-8"})
+        ],
+        "replace the key's digest": [
+            ApiKey(name=key.name, account="mill-7", digest=digest)
+        ],
         "add a rule for an unknown account": [
             rule.model_copy(update={"account": "nobody"})
         ],
@@ -99,60 +103,62 @@
             rule.model_copy(update={"name": "r2", "path": "/v1/"}),
         ],
         "put an item twice": [Drain(name="bench-a"), Drain(name="bench-a")],
-        "add an account named for any account": [Account(name="*")],
-        "add an endless reason": [Drain(name="bench-a", reason="x" * 10_000)],
+        "add an account with the name that matches any": [Account(name="*")],
+        "add a reason that is too long": [Drain(name="bench-a", reason="x" * 10_000)],
     }
     removals = {
-        "remove it": ItemReference(kind="key", name=key.name),
+        "remove the key": ItemReference(kind="key", name=key.name),
         "remove the account of a working key": ItemReference(
             kind="account", name="mill-7"
         ),
-        "remove what does not exist": ItemReference(kind="drain", name="bench-a"),
+        "remove an item that does not exist": ItemReference(
+            kind="drain", name="bench-a"
+        ),
     }
     if attempt in removals:
-        world.apply(remove=(removals[attempt],))
-    elif attempt == "use an endless change id":
-        world.apply(change_id="x" * 10_000)
+        context.submit_change(remove=(removals[attempt],))
+    elif attempt == "use a change id that is too long":
+        context.submit_change(change_id="x" * 10_000)
     else:
-        world.apply(*attempts[attempt])
+        context.submit_change(*attempts[attempt])
 
 
 @then("the change is rejected as invalid")
-def _(world):
-    assert world.error.code is ErrorCode.CONFIGURATION_INVALID
-    assert world.error.message
+def _(context):
+    assert context.error.code is ErrorCode.CONFIGURATION_INVALID
+    assert context.error.message
 
 
 @then("the key is still withdrawn")
-def _(world):
-    assert world.current.find_api_key(world.new_key.item.digest).withdrawn
+def _(context):
+    assert context.current.find_api_key(context.new_key.item.digest).withdrawn
 
 
-@then("the configuration is as before")
-def _(world):
-    assert world.current is world.before
+@then("the configuration is unchanged")
+def _(context):
+    assert context.current is context.before
 
 
-@then("the key is withdrawn on every reader")
-def _(world):
-    newcomer = Reader(world.store)
-    newcomer.read()
-    for fold in (world.reader.fold, newcomer.fold):
-        assert fold.current.find_api_key(world.new_key.item.digest).withdrawn
+@then("every reader knows the key as withdrawn")
+def _(context):
+    new_reader = TopicReader(context.store)
+    new_reader.read()
+    for state in (context.reader.state, new_reader.state):
+        assert state.current.find_api_key(context.new_key.item.digest).withdrawn
 
 
-def test_a_new_key_shows_its_clear_text_only_when_asked():
-    key = World().new_key
+def test_clear_text_is_not_in_repr_or_in_the_stored_item():
+    key = ScenarioContext().new_key
     assert key.clear not in repr(key)
     assert key.clear not in key.item.model_dump_json()
 
 
-def test_without_its_check_a_withdrawn_key_would_come_back(monkeypatch):
+def test_withdrawn_key_could_be_restored_without_the_check(monkeypatch):
     name = "buckthornstile.configuration._change._check_key"
     monkeypatch.setattr(name, lambda configuration, key: None)
-    world = World()
-    key = world.new_key.item
-    world.apply(Account(name="mill-7"), key)
-    world.apply(key.model_copy(update={"withdrawn": True}))
-    world.apply(key)
-    assert not world.current.find_api_key(key.digest).withdrawn
+    context = ScenarioContext()
+    key = context.new_key.item
+    context.submit_change(Account(name="mill-7"), key)
+    context.submit_change(key.model_copy(update={"withdrawn": True}))
+    context.submit_change(key)
+    assert not context.current.find_api_key(key.digest).withdrawn
--- a/buckthornstile/configuration/tests/withdrawal.feature
+++ b/buckthornstile/configuration/tests/withdrawal.feature
@@ -1,11 +1,11 @@
 Feature: A withdrawn key stops working
 
-  Scenario: A withdrawn key is known as withdrawn by every process that hears of it
+  Scenario: Every process that reads a withdrawal knows the key as withdrawn
     Given client account "mill-7" has a key
     When operators withdraw the key
-    Then the key is withdrawn on every reader
+    Then every reader knows the key as withdrawn
 
-  Scenario Outline: A withdrawn key never comes back
+  Scenario Outline: A withdrawn key cannot be restored
     Given client account "mill-7" has a key
     When operators withdraw the key
     And operators try to <attempt>
@@ -14,26 +14,26 @@
 
     Examples:
       | attempt                            |
-      | put the key in force again         |
-      | add it under another name          |
-      | move it to another account         |
-      | replace its digest                 |
-      | remove it                          |
+      | put the key in effect again        |
+      | add the key under another name     |
+      | move the key to another account    |
+      | replace the key's digest           |
+      | remove the key                     |
 
-  Scenario Outline: A change that would leave the configuration broken is rejected whole
+  Scenario Outline: A change that would make the configuration invalid is rejected as a whole
     Given client account "mill-7" has a key
     When operators try to <attempt>
     Then the change is rejected as invalid
-    And the configuration is as before
+    And the configuration is unchanged
 
     Examples:
-      | attempt                                     |
-      | remove the account of a working key         |
-      | add a rule for an unknown account           |
-      | add an open route for an unknown account    |
-      | add two rules for the same callers          |
-      | remove what does not exist                  |
-      | put an item twice                           |
-      | add an account named for any account        |
-      | add an endless reason                       |
-      | use an endless change id                    |
+      | attempt                                            |
+      | remove the account of a working key                |
+      | add a rule for an unknown account                  |
+      | add an open route for an unknown account           |
+      | add two rules for the same callers                 |
+      | remove an item that does not exist                 |
+      | put an item twice                                  |
+      | add an account with the name that matches any      |
+      | add a reason that is too long                      |
+      | use a change id that is too long                   |
