--- a/buckthornstile/sheet/__init__.py
+++ b/buckthornstile/sheet/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' sheet: read whole, planned against the configuration."""
+"""Parses an operator's sheet and plans its changes to the configuration."""
 
 from buckthornstile.sheet._errors import SheetError, SheetErrorCode, SheetProblem
 from buckthornstile.sheet._parse import (
--- a/buckthornstile/sheet/_errors.py
+++ b/buckthornstile/sheet/_errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a sheet."""
+"""Errors found in a sheet."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,31 +8,35 @@
 
 
 class SheetErrorCode(Enum):
-    """The stable codes of problems in a sheet."""
+    """Stable codes of the problems in a sheet.
+
+    ``CELL_UNEXPECTED`` marks a cell that has text where its row must have none.
+    """
 
     TOO_LARGE = "sheet.too_large"
     UNREADABLE = "sheet.unreadable"
     COLUMN_UNKNOWN = "sheet.column_unknown"
     COLUMN_MISSING = "sheet.column_missing"
-    COLUMN_DOUBLED = "sheet.column_doubled"
+    COLUMN_DUPLICATE = "sheet.column_doubled"
     KIND_UNKNOWN = "sheet.kind_unknown"
     CELL_MISSING = "sheet.cell_missing"
-    CELL_UNUSED = "sheet.cell_unused"
+    CELL_UNEXPECTED = "sheet.cell_unused"
     CELL_INVALID = "sheet.cell_invalid"
     CELL_FORMULA = "sheet.cell_formula"
-    NAME_DOUBLED = "sheet.name_doubled"
+    NAME_DUPLICATE = "sheet.name_doubled"
     ACCOUNT_UNKNOWN = "sheet.account_unknown"
 
 
 @dataclass(frozen=True, slots=True)
 class SheetProblem:
-    """One problem.
+    """A problem in a sheet.
 
     Args:
-        row: The row as a planner counts it, the header being 1; 0 for the sheet.
-        column: The column's name, or empty.
-        code: What is wrong.
-        message: One sentence for a person.
+        row: Row number in the file, counted from 1; 0 if the problem concerns the
+            whole sheet.
+        column: Name of the column; empty if the problem concerns no single column.
+        code: Code of the problem.
+        message: Description for people, which follows the name of the place.
 
     Example:
         >>> print(SheetProblem(2, "kind", SheetErrorCode.KIND_UNKNOWN, "is 'x'"))
@@ -52,10 +56,10 @@
 
 
 class SheetError(BuckthornstileError):
-    """A sheet that is refused whole.
+    """Raised when a sheet is rejected; nothing of it is applied.
 
     Args:
-        problems: Everything that is wrong with it.
+        problems: All problems that were found in the sheet.
 
     Example:
         >>> problem = SheetProblem(0, "", SheetErrorCode.UNREADABLE, "is empty")
--- a/buckthornstile/sheet/_parse.py
+++ b/buckthornstile/sheet/_parse.py
@@ -1,4 +1,4 @@
-"""Turns rows of text into configuration items, or names every problem."""
+"""Parses rows of text into configuration items and reports every problem."""
 
 from dataclasses import dataclass, field
 
@@ -30,16 +30,16 @@
     "maximum_age",
     "reason",
 )
-"""The columns of a sheet; all but ``kind`` may be left out."""
+"""Column names of a sheet; all columns except ``kind`` are optional."""
 
-REQUIRED = {
+REQUIRED_COLUMNS = {
     "account": ("name",),
     "key": ("name", "account"),
     "open_route": ("path", "service", "account"),
     "rule": ("name", "path", "service"),
     "drain": ("name",),
 }
-OPTIONAL = {
+OPTIONAL_COLUMNS = {
     "account": ("weight", "maximum_open"),
     "key": (),
     "open_route": ("class", "idempotent"),
@@ -52,7 +52,7 @@
     "rule": Rule,
     "drain": Drain,
 }
-BOOLEANS = {
+BOOLEAN_VALUES = {
     "true": True,
     "yes": True,
     "1": True,
@@ -61,11 +61,12 @@
     "0": False,
 }
 MAX_PROBLEMS = 200
+"""Maximum number of problems that an error lists."""
 
 
 @dataclass(frozen=True, slots=True)
 class SheetKey:
-    """A key that the sheet names; the sheet never holds the key itself."""
+    """An API key that the sheet lists by name; a sheet never holds its clear text."""
 
     name: KeyId
     account: AccountId
@@ -73,30 +74,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Sheet:
-    """A sheet that is well formed.
+    """A valid sheet.
 
     Args:
-        items: All items but keys.
-        keys: The keys that it names.
-        rows: The row number of each item, by kind and name.
+        items: All items except API keys.
+        keys: The API keys that the sheet lists.
+        row_numbers: Row number of each item, by kind and name.
     """
 
     items: tuple[ConfigurationItem, ...]
     keys: tuple[SheetKey, ...]
-    rows: dict[tuple[str, str], int] = field(default_factory=dict, compare=False)
+    row_numbers: dict[tuple[str, str], int] = field(default_factory=dict, compare=False)
 
 
 def parse_sheet(data: bytes) -> Sheet:
-    r"""Parses a CSV or XLSX sheet; accepts or refuses it whole.
+    r"""Parses a CSV or XLSX sheet, which is accepted or rejected as a whole.
 
     Args:
-        data: The file's bytes.
+        data: Contents of the file.
 
     Returns:
-        The sheet.
+        The parsed sheet.
 
     Raises:
-        SheetError: With each problem's row, column and code.
+        SheetError: The sheet is invalid; the error lists up to ``MAX_PROBLEMS``
+            problems with their rows, columns and codes.
 
     Example:
         >>> sheet = parse_sheet(b"kind,name,weight\naccount,mill-7,2\n")
@@ -112,17 +114,19 @@
         parser.check_accounts()
     if parser.problems:
         raise SheetError(parser.problems[:MAX_PROBLEMS])
-    return Sheet(tuple(parser.items), tuple(parser.keys), parser.rows)
+    return Sheet(tuple(parser.items), tuple(parser.keys), parser.row_numbers)
 
 
 class _Parser:
+    """Collects the items and the problems of a sheet, row by row."""
+
     def __init__(self) -> None:
         self.problems: list[SheetProblem] = []
         self.items: list[ConfigurationItem] = []
         self.keys: list[SheetKey] = []
-        self.rows: dict[tuple[str, str], int] = {}
-        self.accounts: set[str] = set()
-        self.named: list[tuple[int, str]] = []
+        self.row_numbers: dict[tuple[str, str], int] = {}
+        self.account_names: set[str] = set()
+        self.account_references: list[tuple[int, str]] = []
 
     def read_header(self, row: Row) -> list[str]:
         names = [cell.text.lower() for cell in row.cells]
@@ -131,18 +135,23 @@
         for name in dict.fromkeys(names):
             if name not in COLUMNS:
                 allowed = ", ".join(COLUMNS)
-                self._add(
+                self._add_problem(
                     row.number,
                     name,
                     SheetErrorCode.COLUMN_UNKNOWN,
-                    f"{name!r} is unknown; known are {allowed}",
+                    f"{name!r} is not a column; it must be one of {allowed}",
                 )
             elif names.count(name) > 1:
-                self._add(
-                    row.number, name, SheetErrorCode.COLUMN_DOUBLED, "stands twice"
+                self._add_problem(
+                    row.number,
+                    name,
+                    SheetErrorCode.COLUMN_DUPLICATE,
+                    "appears more than once",
                 )
         if "kind" not in names:
-            self._add(row.number, "kind", SheetErrorCode.COLUMN_MISSING, "is not there")
+            self._add_problem(
+                row.number, "kind", SheetErrorCode.COLUMN_MISSING, "is missing"
+            )
         return names
 
     def read_row(self, row: Row, header: list[str]) -> None:
@@ -150,119 +159,131 @@
         if texts is None:
             return
         kind = texts.pop("kind", "").lower()
-        if kind not in REQUIRED:
-            allowed = ", ".join(REQUIRED)
+        if kind not in REQUIRED_COLUMNS:
+            allowed = ", ".join(REQUIRED_COLUMNS)
             message = f"is {kind!r}; it must be one of {allowed}"
-            self._add(row.number, "kind", SheetErrorCode.KIND_UNKNOWN, message)
+            self._add_problem(row.number, "kind", SheetErrorCode.KIND_UNKNOWN, message)
             return
-        before = len(self.problems)
+        problem_count = len(self.problems)
         self._check_columns(row.number, kind, texts)
-        if len(self.problems) == before:
-            self._make_item(row.number, kind, texts)
+        if len(self.problems) == problem_count:
+            self._add_item(row.number, kind, texts)
 
     def check_accounts(self) -> None:
-        for number, account in self.named:
-            if account != ANY_ACCOUNT and account not in self.accounts:
+        for row_number, account in self.account_references:
+            if account != ANY_ACCOUNT and account not in self.account_names:
                 message = f"{account!r} has no row of kind account"
-                self._add(number, "account", SheetErrorCode.ACCOUNT_UNKNOWN, message)
+                self._add_problem(
+                    row_number, "account", SheetErrorCode.ACCOUNT_UNKNOWN, message
+                )
 
     def _read_texts(self, row: Row, header: list[str]) -> dict[str, str] | None:
-        before = len(self.problems)
+        problem_count = len(self.problems)
         texts = {}
         for index, cell in enumerate(row.cells):
-            if not cell.text and cell.code is None:
+            if not cell.text and cell.error_code is None:
                 continue
             if index >= len(header) or not header[index]:
-                message = "has text but no column name"
-                code = SheetErrorCode.CELL_UNUSED
-                self._add(row.number, f"number {index + 1}", code, message)
+                message = "has text, but its column has no name"
+                code = SheetErrorCode.CELL_UNEXPECTED
+                self._add_problem(row.number, f"number {index + 1}", code, message)
                 continue
             self._check_cell(row.number, header[index], cell)
             texts[header[index]] = cell.text
-        return texts if len(self.problems) == before else None
-
-    def _check_cell(self, number: int, column: str, cell: Cell) -> None:
-        if cell.code is SheetErrorCode.CELL_FORMULA:
-            message = "is a formula; write the value itself"
-            self._add(number, column, cell.code, message)
-        elif cell.code is not None:
-            message = "is too long, a date or not printable"
-            self._add(number, column, cell.code, message)
-
-    def _check_columns(self, number: int, kind: str, texts: dict[str, str]) -> None:
-        for column in REQUIRED[kind]:
+        return texts if len(self.problems) == problem_count else None
+
+    def _check_cell(self, row_number: int, column: str, cell: Cell) -> None:
+        if cell.error_code is SheetErrorCode.CELL_FORMULA:
+            message = "is a formula; it must be a plain value"
+            self._add_problem(row_number, column, cell.error_code, message)
+        elif cell.error_code is not None:
+            message = "is too long, is a date or has characters that are not printable"
+            self._add_problem(row_number, column, cell.error_code, message)
+
+    def _check_columns(self, row_number: int, kind: str, texts: dict[str, str]) -> None:
+        for column in REQUIRED_COLUMNS[kind]:
             if column not in texts:
-                message = f"is empty; a row of kind {kind} needs it"
-                self._add(number, column, SheetErrorCode.CELL_MISSING, message)
-        allowed = REQUIRED[kind] + OPTIONAL[kind]
+                message = f"is empty; a row of kind {kind} must have it"
+                self._add_problem(
+                    row_number, column, SheetErrorCode.CELL_MISSING, message
+                )
+        allowed = REQUIRED_COLUMNS[kind] + OPTIONAL_COLUMNS[kind]
         for column in texts:
             if column not in allowed:
-                message = f"has text, but a row of kind {kind} does not use it"
-                self._add(number, column, SheetErrorCode.CELL_UNUSED, message)
+                message = f"has text; a row of kind {kind} must leave it empty"
+                self._add_problem(
+                    row_number, column, SheetErrorCode.CELL_UNEXPECTED, message
+                )
 
-    def _make_item(self, number: int, kind: str, texts: dict[str, str]) -> None:
+    def _add_item(self, row_number: int, kind: str, texts: dict[str, str]) -> None:
         name = texts["path"] if kind == "open_route" else texts["name"]
-        if kind != "open_route" and not self._check_name(number, name):
+        if kind != "open_route" and not self._check_name(row_number, name):
             return
-        if (kind, name) in self.rows:
-            message = f"{name!r} stands in row {self.rows[(kind, name)]} too"
-            self._add(number, "name", SheetErrorCode.NAME_DOUBLED, message)
+        if (kind, name) in self.row_numbers:
+            message = f"{name!r} is already in row {self.row_numbers[(kind, name)]}"
+            self._add_problem(
+                row_number, "name", SheetErrorCode.NAME_DUPLICATE, message
+            )
             return
-        self.rows[(kind, name)] = number
+        self.row_numbers[(kind, name)] = row_number
         if kind == "account":
-            self.accounts.add(name)
+            self.account_names.add(name)
         elif "account" in texts:
-            self.named.append((number, texts["account"]))
+            self.account_references.append((row_number, texts["account"]))
         if kind == "key":
             self.keys.append(SheetKey(KeyId(name), AccountId(texts["account"])))
             return
-        values = self._convert(number, kind, texts)
+        values = self._convert_texts(row_number, kind, texts)
         if values is None:
             return
         try:
             self.items.append(ITEM_TYPES[kind].model_validate(values))
         except ValidationError as error:
             for item in error.errors():
-                column = _name_column(kind, str(item["loc"][0]))
+                column = _get_column_name(kind, str(item["loc"][0]))
                 message = f"is {item['input']!r}: {item['msg']}"
-                self._add(number, column, SheetErrorCode.CELL_INVALID, message)
+                self._add_problem(
+                    row_number, column, SheetErrorCode.CELL_INVALID, message
+                )
 
-    def _check_name(self, number: int, name: str) -> bool:
+    def _check_name(self, row_number: int, name: str) -> bool:
         try:
             check_name("name", name)
         except ValueError as error:
             message = str(error).removeprefix("name ")
-            self._add(number, "name", SheetErrorCode.CELL_INVALID, message)
+            self._add_problem(row_number, "name", SheetErrorCode.CELL_INVALID, message)
             return False
         if name == ANY_ACCOUNT:
-            message = "is '*', which stands for any"
-            self._add(number, "name", SheetErrorCode.CELL_INVALID, message)
+            message = "is '*', which is reserved for any account"
+            self._add_problem(row_number, "name", SheetErrorCode.CELL_INVALID, message)
             return False
         return True
 
-    def _convert(
-        self, number: int, kind: str, texts: dict[str, str]
+    def _convert_texts(
+        self, row_number: int, kind: str, texts: dict[str, str]
     ) -> dict[str, object] | None:
         values: dict[str, object] = dict(texts)
         if "class" in values:
             values["request_class"] = str(values.pop("class")).lower()
         if "idempotent" in texts:
-            flag = BOOLEANS.get(texts["idempotent"].lower())
+            flag = BOOLEAN_VALUES.get(texts["idempotent"].lower())
             if flag is None:
                 message = f"is {texts['idempotent']!r}; it must be yes or no"
                 code = SheetErrorCode.CELL_INVALID
-                self._add(number, "idempotent", code, message)
+                self._add_problem(row_number, "idempotent", code, message)
                 return None
             values["idempotent"] = flag
         if kind == "open_route":
             values["name"] = values.pop("path")
         return values
 
-    def _add(self, row: int, column: str, code: SheetErrorCode, message: str) -> None:
+    def _add_problem(
+        self, row: int, column: str, code: SheetErrorCode, message: str
+    ) -> None:
         self.problems.append(SheetProblem(row, column, code, message))
 
 
-def _name_column(kind: str, attribute: str) -> str:
+def _get_column_name(kind: str, attribute: str) -> str:
     if attribute == "request_class":
         return "class"
     return "path" if kind == "open_route" and attribute == "name" else attribute
--- a/buckthornstile/sheet/_plan.py
+++ b/buckthornstile/sheet/_plan.py
@@ -1,4 +1,4 @@
-"""Works out what a sheet would change."""
+"""Computes the changes that a sheet makes to the configuration."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -21,25 +21,32 @@
 from buckthornstile.sheet._errors import SheetError, SheetErrorCode, SheetProblem
 from buckthornstile.sheet._parse import Sheet, SheetKey
 
-LARGEST_REMOVED_SHARE = 0.2
-FEW_REMOVALS = 1
+MAX_REMOVED_FRACTION = 0.2
+"""Largest fraction of the items that a sheet may remove without an explicit flag."""
+
+MAX_UNCHECKED_REMOVALS = 1
+"""Number of items that a sheet may remove whatever fraction they are."""
+
 MANAGED_KINDS = ("account", "open_route", "rule")
-"""Kinds of which a sheet holds all; drains and keys are also made by commands."""
+"""Kinds whose items are removed if the sheet does not list them.
+
+Other kinds, drains and keys, are also created by commands.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class SheetPlan:
-    """What applying a sheet would do.
+    """The changes that applying a sheet makes.
 
     Args:
-        base_revision: The revision that it was worked out from.
+        base_revision: Revision of the configuration that the plan was computed for.
         added: Items to add.
-        changed: Items to replace, as they will be.
-        removed: Items to remove, as they are.
-        unchanged: Items that stay.
-        new_keys: Keys to make.
-        withdrawn_keys: Working keys to withdraw.
-        kept: Working keys and drains that the sheet does not name and that stay.
+        changed: Items to replace, with their new values.
+        removed: Items to remove, with their current values.
+        unchanged: Items that are equal in the sheet and the configuration.
+        new_keys: Keys to create.
+        withdrawn_keys: Valid keys to withdraw.
+        kept: Valid keys and drains that the sheet does not list and that stay.
     """
 
     base_revision: Revision = field(compare=False)
@@ -53,7 +60,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether applying it would change nothing."""
+        """Whether applying the plan changes nothing."""
         return not (
             self.added
             or self.changed
@@ -66,23 +73,26 @@
 def plan_sheet(
     configuration: Configuration, sheet: Sheet, *, allow_removal: bool = False
 ) -> SheetPlan:
-    r"""Plans a sheet against the current configuration.
+    r"""Computes the changes from the current configuration to a sheet.
 
-    Accounts, open routes and rules that the sheet does not name are removed.
-    Drains that it does not name stay, and so do keys unless ``allow_removal``.
+    Accounts, open routes and rules that the sheet does not list are removed.
+    Drains that it does not list stay. Keys that it does not list stay, unless
+    ``allow_removal`` is set.
 
     Args:
         configuration: The current configuration.
         sheet: The sheet.
-        allow_removal: Whether a large share may be removed, and keys that the
-            sheet does not name be withdrawn.
+        allow_removal: Whether a large fraction of the items may be removed, and keys
+            that the sheet does not list are withdrawn.
 
     Returns:
         The plan.
 
     Raises:
-        SheetError: A key's row names another account than the key has.
-        BuckthornstileError: ``REMOVAL_TOO_LARGE``.
+        SheetError: A key in the sheet belongs to another account in the
+            configuration.
+        BuckthornstileError: ``REMOVAL_TOO_LARGE``: the sheet removes too many items
+            and ``allow_removal`` is not set.
 
     Example:
         >>> from buckthornstile.sheet import parse_sheet
@@ -91,33 +101,35 @@
         ['mill-7']
     """
     _check_key_accounts(configuration, sheet)
-    before: dict[tuple[str, str], ConfigurationItem] = {
+    current_items: dict[tuple[str, str], ConfigurationItem] = {
         (item.kind, str(item.name)): item
         for item in configuration.list_items()
         if not isinstance(item, ApiKey)
     }
     wanted = {(item.kind, str(item.name)): item for item in sheet.items}
-    missing = [item for name, item in before.items() if name not in wanted]
-    named_keys = {key.name for key in sheet.keys}
-    missing_keys = [
+    unlisted = [item for name, item in current_items.items() if name not in wanted]
+    listed_keys = {key.name for key in sheet.keys}
+    unlisted_keys = [
         key
         for key in configuration.keys.values()
-        if not key.withdrawn and key.name not in named_keys
+        if not key.withdrawn and key.name not in listed_keys
     ]
     plan = SheetPlan(
         base_revision=configuration.revision,
-        added=tuple(item for name, item in wanted.items() if name not in before),
+        added=tuple(item for name, item in wanted.items() if name not in current_items),
         changed=tuple(
-            item for name, item in wanted.items() if before.get(name, item) != item
+            item
+            for name, item in wanted.items()
+            if current_items.get(name, item) != item
         ),
-        removed=tuple(item for item in missing if item.kind in MANAGED_KINDS),
+        removed=tuple(item for item in unlisted if item.kind in MANAGED_KINDS),
         unchanged=tuple(
-            item for name, item in wanted.items() if before.get(name) == item
+            item for name, item in wanted.items() if current_items.get(name) == item
         ),
         new_keys=tuple(key for key in sheet.keys if key.name not in configuration.keys),
-        withdrawn_keys=tuple(missing_keys) if allow_removal else (),
-        kept=tuple(item for item in missing if item.kind not in MANAGED_KINDS)
-        + (() if allow_removal else tuple(missing_keys)),
+        withdrawn_keys=tuple(unlisted_keys) if allow_removal else (),
+        kept=tuple(item for item in unlisted if item.kind not in MANAGED_KINDS)
+        + (() if allow_removal else tuple(unlisted_keys)),
     )
     if not allow_removal:
         _check_removal(configuration, plan)
@@ -127,14 +139,14 @@
 def make_sheet_keys(
     plan: SheetPlan, *, token_bytes: Callable[[int], bytes]
 ) -> tuple[GeneratedApiKey, ...]:
-    """Makes the keys that a plan adds.
+    """Generates the new keys of a plan.
 
     Args:
         plan: The plan.
-        token_bytes: Gives that many unpredictable bytes.
+        token_bytes: Returns the given number of unpredictable bytes.
 
     Returns:
-        The keys with their clear text, to be shown once.
+        The keys with their clear texts, which must be shown only once.
 
     Example:
         >>> make_sheet_keys(SheetPlan(Revision(0)), token_bytes=bytes)
@@ -153,16 +165,16 @@
     new_keys: Sequence[GeneratedApiKey] = (),
     operator: str = "",
 ) -> ConfigurationChange:
-    """Makes the change that carries out a plan.
+    """Builds the configuration change that applies a plan.
 
     Args:
         plan: The plan.
-        change_id: The same on every retry of the same change.
-        new_keys: What :func:`make_sheet_keys` made for this plan.
-        operator: Who makes the change.
+        change_id: Id of the change; it must stay the same on every retry.
+        new_keys: Keys that :func:`make_sheet_keys` generated for this plan.
+        operator: Name of the operator who makes the change.
 
     Returns:
-        The change, whole.
+        The complete change.
 
     Example:
         >>> make_sheet_change(SheetPlan(Revision(3)), change_id="c").base_revision
@@ -185,10 +197,10 @@
 def _check_key_accounts(configuration: Configuration, sheet: Sheet) -> None:
     problems = []
     for key in sheet.keys:
-        before = configuration.keys.get(key.name)
-        if before is not None and before.account != key.account:
-            message = f"key {key.name} exists and belongs to {before.account}"
-            row = sheet.rows.get(("key", key.name), 0)
+        existing = configuration.keys.get(key.name)
+        if existing is not None and existing.account != key.account:
+            message = f"key {key.name} already belongs to account {existing.account}"
+            row = sheet.row_numbers.get(("key", key.name), 0)
             code = SheetErrorCode.CELL_INVALID
             problems.append(SheetProblem(row, "account", code, message))
     if problems:
@@ -197,13 +209,13 @@
 
 def _check_removal(configuration: Configuration, plan: SheetPlan) -> None:
     removed = len(plan.removed)
-    standing = sum(
+    total = sum(
         not (isinstance(item, ApiKey) and item.withdrawn)
         for item in configuration.list_items()
     )
-    if removed > FEW_REMOVALS and removed > LARGEST_REMOVED_SHARE * standing:
+    if removed > MAX_UNCHECKED_REMOVALS and removed > MAX_REMOVED_FRACTION * total:
         raise BuckthornstileError(
             ErrorCode.REMOVAL_TOO_LARGE,
-            f"the sheet would remove {removed} of {standing} items; more than "
-            f"{LARGEST_REMOVED_SHARE:.0%} needs --allow_removal",
+            f"the sheet would remove {removed} of {total} items; removing more than "
+            f"{MAX_REMOVED_FRACTION:.0%} requires --allow_removal",
         )
--- a/buckthornstile/sheet/_reader.py
+++ b/buckthornstile/sheet/_reader.py
@@ -1,4 +1,4 @@
-"""Reads CSV and XLSX into rows of text, whatever the file holds."""
+"""Reads CSV and XLSX files, also malformed ones, into rows of text."""
 
 import csv
 import io
@@ -10,25 +10,25 @@
 from buckthornstile.sheet._errors import SheetError, SheetErrorCode, SheetProblem
 
 MAX_FILE_BYTES = 4 << 20
-MAX_UNPACKED_BYTES = 64 << 20
+MAX_UNCOMPRESSED_BYTES = 64 << 20
 MAX_ROWS = 5000
 MAX_COLUMNS = 64
-MAX_CELL_LENGTH = 512
-ZIP_START = b"PK\x03\x04"
-FORMULA_STARTS = ("=", "@", "+", "-")
+MAX_CELL_CHARACTERS = 512
+ZIP_SIGNATURE = b"PK\x03\x04"
+FORMULA_PREFIXES = ("=", "@", "+", "-")
 
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """One cell's text, or the code of why it has none."""
+    """A cell's text, with an error code if the text cannot be used."""
 
     text: str
-    code: SheetErrorCode | None = None
+    error_code: SheetErrorCode | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One row that is not empty, with its number in the file."""
+    """A row that is not empty, with its number in the file, counted from 1."""
 
     number: int
     cells: tuple[Cell, ...]
@@ -38,7 +38,7 @@
     """Reads the rows of a CSV or XLSX file.
 
     Args:
-        data: The file's bytes.
+        data: Contents of the file.
 
     Returns:
         The rows that are not empty, the header first.
@@ -55,11 +55,11 @@
             SheetErrorCode.TOO_LARGE,
             f"has {len(data)} bytes; it must have at most {MAX_FILE_BYTES} bytes",
         )
-    grid = _read_xlsx(data) if data.startswith(ZIP_START) else _read_csv(data)
+    grid = _read_xlsx(data) if data.startswith(ZIP_SIGNATURE) else _read_csv(data)
     rows = [
         Row(number, tuple(cells))
         for number, cells in enumerate(grid, start=1)
-        if any(cell.text or cell.code for cell in cells)
+        if any(cell.text or cell.error_code for cell in cells)
     ]
     if not rows:
         raise _make_error(SheetErrorCode.UNREADABLE, "is empty")
@@ -79,36 +79,38 @@
         text = data.decode("utf-8-sig")
     except UnicodeDecodeError as error:
         raise _make_error(
-            SheetErrorCode.UNREADABLE, f"is not UTF-8 at byte {error.start}"
+            SheetErrorCode.UNREADABLE, f"is not valid UTF-8 at byte {error.start}"
         ) from None
     if "\0" in text:
-        raise _make_error(SheetErrorCode.UNREADABLE, "holds a NUL character")
+        raise _make_error(SheetErrorCode.UNREADABLE, "contains a NUL character")
     header = text.partition("\n")[0]
-    # Spreadsheets of some languages write semicolons for commas.
+    # In some locales, spreadsheet programs separate the columns by semicolons.
     delimiter = ";" if ";" in header and "," not in header else ","
     reader = csv.reader(io.StringIO(text, newline=""), delimiter=delimiter, strict=True)
     try:
         return [[_make_cell(value) for value in row] for row in reader]
     except csv.Error as error:
         raise _make_error(
-            SheetErrorCode.UNREADABLE, f"is not CSV at line {reader.line_num}: {error}"
+            SheetErrorCode.UNREADABLE,
+            f"is not valid CSV at line {reader.line_num}: {error}",
         ) from None
 
 
 def _read_xlsx(data: bytes) -> list[list[Cell]]:
     try:
         with zipfile.ZipFile(io.BytesIO(data)) as archive:
-            unpacked = sum(info.file_size for info in archive.infolist())
-        if unpacked > MAX_UNPACKED_BYTES:
+            uncompressed = sum(info.file_size for info in archive.infolist())
+        if uncompressed > MAX_UNCOMPRESSED_BYTES:
             raise _make_error(
                 SheetErrorCode.TOO_LARGE,
-                f"unpacks to {unpacked} bytes; at most {MAX_UNPACKED_BYTES} are read",
+                f"has {uncompressed} bytes when uncompressed; it must have at most "
+                f"{MAX_UNCOMPRESSED_BYTES} bytes",
             )
         book = openpyxl.load_workbook(io.BytesIO(data), read_only=True)
         if len(book.worksheets) != 1:
             raise _make_error(
                 SheetErrorCode.UNREADABLE,
-                f"holds {len(book.worksheets)} worksheets; it must hold 1",
+                f"has {len(book.worksheets)} worksheets; it must have 1",
             )
         rows = book.worksheets[0].iter_rows(
             max_row=MAX_ROWS + 2, max_col=MAX_COLUMNS, values_only=True
@@ -117,9 +119,9 @@
     except SheetError:
         raise
     except Exception as error:
-        # The package raises errors of many kinds for a broken file.
+        # openpyxl raises exceptions of many types for a malformed file.
         raise _make_error(
-            SheetErrorCode.UNREADABLE, f"is not XLSX: {type(error).__name__}"
+            SheetErrorCode.UNREADABLE, f"is not valid XLSX: {type(error).__name__}"
         ) from None
 
 
@@ -129,15 +131,15 @@
     if isinstance(value, bool):
         return Cell("true" if value else "false")
     if isinstance(value, int | float):
-        is_complete = isinstance(value, int) or value.is_integer()
-        return Cell(str(int(value)) if is_complete else repr(value))
+        is_whole_number = isinstance(value, int) or value.is_integer()
+        return Cell(str(int(value)) if is_whole_number else repr(value))
     if not isinstance(value, str):
-        # A spreadsheet has taken the text for a date.
-        return Cell(str(value)[:MAX_CELL_LENGTH], SheetErrorCode.CELL_INVALID)
+        # The spreadsheet program converted the text to a date or time.
+        return Cell(str(value)[:MAX_CELL_CHARACTERS], SheetErrorCode.CELL_INVALID)
     text = value.strip()
-    if len(text) > MAX_CELL_LENGTH or not text.isprintable():
-        return Cell(text[:MAX_CELL_LENGTH], SheetErrorCode.CELL_INVALID)
-    if text.startswith(FORMULA_STARTS) and not _is_number(text):
+    if len(text) > MAX_CELL_CHARACTERS or not text.isprintable():
+        return Cell(text[:MAX_CELL_CHARACTERS], SheetErrorCode.CELL_INVALID)
+    if text.startswith(FORMULA_PREFIXES) and not _is_number(text):
         return Cell(text, SheetErrorCode.CELL_FORMULA)
     return Cell(text)
 
--- a/buckthornstile/sheet/tests/test_sheet.py
+++ b/buckthornstile/sheet/tests/test_sheet.py
@@ -1,4 +1,8 @@
-"""The sheet is accepted or refused whole, and never removes much by accident."""
+"""Tests of parsing a sheet and planning its changes.
+
+A sheet is accepted or rejected as a whole. A large removal requires a flag, so that
+a truncated sheet does not remove most of the configuration.
+"""
 
 import datetime
 import io
@@ -27,7 +31,7 @@
     plan_sheet,
 )
 
-EXAMPLE = pathlib.Path(__file__).parents[3] / "examples" / "sheet.csv"
+EXAMPLE_SHEET = pathlib.Path(__file__).parents[3] / "examples" / "sheet.csv"
 
 
 def make_xlsx(rows):
@@ -57,16 +61,18 @@
     return apply_change(configuration, change, offset=configuration.revision)
 
 
-def test_the_example_sheet_is_the_same_as_csv_and_xlsx():
-    data = EXAMPLE.read_bytes()
+def test_example_sheet_parses_alike_from_csv_and_xlsx():
+    data = EXAMPLE_SHEET.read_bytes()
     rows = [line.split(",") for line in data.decode().splitlines()]
-    typed = [[int(c) if c.isdigit() else c or None for c in row] for row in rows]
-    assert parse_sheet(make_xlsx(typed)) == parse_sheet(data)
+    typed_rows = [
+        [int(text) if text.isdigit() else text or None for text in row] for row in rows
+    ]
+    assert parse_sheet(make_xlsx(typed_rows)) == parse_sheet(data)
     assert parse_sheet(data.replace(b",", b";")) == parse_sheet(data)
     assert parse_sheet(b"\xef\xbb\xbf" + data) == parse_sheet(data)
     after = apply_sheet(EMPTY_CONFIGURATION, parse_sheet(data))
-    fine = after.find_rule("/v1/lots", "tooth-geometry", "fine-setting")
-    assert fine.name == "geometry-lots-fine"
+    rule = after.find_rule("/v1/lots", "tooth-geometry", "fine-setting")
+    assert rule.name == "geometry-lots-fine"
     assert not after.find_rule("/v1/orders/4", "mill-7").idempotent
 
 
@@ -102,11 +108,11 @@
         ("kind\n" + "account\n" * 6000, [(0, "", "too_large")]),
     ],
 )
-def test_each_problem_has_row_column_and_code(rows, problems):
+def test_problem_has_row_column_and_code(rows, problems):
     assert read_problems(rows.encode()) == problems
 
 
-def test_odd_cells_of_a_spreadsheet_are_named():
+def test_date_and_formula_cells_of_a_spreadsheet_are_rejected():
     rows = [
         ["kind", "name", "reason"],
         ["drain", datetime.date(2026, 3, 7), None],
@@ -121,22 +127,22 @@
     assert read_problems(b"x" * (5 << 20)) == [(0, "", "too_large")]
 
 
-def test_a_spreadsheet_that_unpacks_to_much_is_not_unpacked(monkeypatch):
+def test_spreadsheet_with_large_uncompressed_size_is_rejected(monkeypatch):
     data = make_xlsx([["kind"]])
-    name = "buckthornstile.sheet._reader.MAX_UNPACKED_BYTES"
+    name = "buckthornstile.sheet._reader.MAX_UNCOMPRESSED_BYTES"
     monkeypatch.setattr(name, 1000)
     assert read_problems(data) == [(0, "", "too_large")]
 
 
-CELLS = st.one_of(
+CELL_TEXTS = st.one_of(
     st.sampled_from([*COLUMNS, "account", "key", "rule", "*", "/v1", "yes", "=1", ""]),
     st.text(max_size=8),
 )
 
 
 @settings(max_examples=150, derandomize=True, deadline=None)
-@given(st.lists(st.lists(CELLS, max_size=6), max_size=6), st.binary(max_size=60))
-def test_no_file_raises_anything_but_a_coded_error(rows, noise):
+@given(st.lists(st.lists(CELL_TEXTS, max_size=6), max_size=6), st.binary(max_size=60))
+def test_malformed_files_raise_only_errors_with_codes(rows, noise):
     text = "\n".join(",".join(row) for row in [list(COLUMNS[:6]), *rows])
     for data in (text.encode("utf-8", "ignore"), noise, b"PK\x03\x04" + noise):
         try:
@@ -145,50 +151,52 @@
             assert error.code.value.split(".")[0] in ("sheet", "configuration")
 
 
-def test_a_plan_tells_added_changed_removed_and_unchanged():
-    before = apply_sheet(EMPTY_CONFIGURATION, parse_sheet(EXAMPLE.read_bytes()))
-    text = EXAMPLE.read_text().replace("public,,,,,,,1,32", "public,,,,,,,1,64")
-    text = "\n".join(r for r in text.splitlines() if "ledger-sync" not in r)
+def test_plan_lists_added_changed_and_removed_items():
+    before = apply_sheet(EMPTY_CONFIGURATION, parse_sheet(EXAMPLE_SHEET.read_bytes()))
+    text = EXAMPLE_SHEET.read_text().replace("public,,,,,,,1,32", "public,,,,,,,1,64")
+    text = "\n".join(line for line in text.splitlines() if "ledger-sync" not in line)
     text += "\nkey,new,mill-7\ndrain,bench-a"
     plan = plan_sheet(before, parse_sheet(text.encode()))
     assert plan.added == (Drain(name="bench-a"),)
     assert plan.changed == (Account(name="public", maximum_open=64),)
     assert [item.name for item in plan.removed] == ["ledger-sync"]
     assert [key.name for key in plan.new_keys] == ["new"]
-    assert plan_sheet(before, parse_sheet(EXAMPLE.read_bytes())).is_empty
+    assert plan_sheet(before, parse_sheet(EXAMPLE_SHEET.read_bytes())).is_empty
 
 
-def test_removing_a_large_share_needs_the_flag():
-    before = apply_sheet(EMPTY_CONFIGURATION, parse_sheet(EXAMPLE.read_bytes()))
-    small = parse_sheet(b"kind,name\naccount,mill-7\naccount,tooth-geometry\n")
+def test_large_removal_requires_flag():
+    before = apply_sheet(EMPTY_CONFIGURATION, parse_sheet(EXAMPLE_SHEET.read_bytes()))
+    small_sheet = parse_sheet(b"kind,name\naccount,mill-7\naccount,tooth-geometry\n")
     with pytest.raises(BuckthornstileError) as caught:
-        plan_sheet(before, small)
+        plan_sheet(before, small_sheet)
     assert caught.value.code is ErrorCode.REMOVAL_TOO_LARGE
-    after = apply_sheet(before, small, allow_removal=True)
+    after = apply_sheet(before, small_sheet, allow_removal=True)
     assert not after.rules
     assert all(key.withdrawn for key in after.keys.values())
 
 
-def test_keys_and_drains_that_a_sheet_does_not_name_stay():
-    before = apply_sheet(EMPTY_CONFIGURATION, parse_sheet(EXAMPLE.read_bytes()))
+def test_keys_and_drains_missing_from_sheet_stay():
+    before = apply_sheet(EMPTY_CONFIGURATION, parse_sheet(EXAMPLE_SHEET.read_bytes()))
     rule = Rule(name="x", path="/x", service="s")
-    with_drain = parse_sheet(EXAMPLE.read_bytes() + b"drain,bench-a\n")
+    with_drain = parse_sheet(EXAMPLE_SHEET.read_bytes() + b"drain,bench-a\n")
     drained = apply_sheet(before, with_drain)
-    text = EXAMPLE.read_text().replace("key,mill-7-clerks,mill-7,,,,,,,,,\n", "")
+    text = EXAMPLE_SHEET.read_text().replace("key,mill-7-clerks,mill-7,,,,,,,,,\n", "")
     plan = plan_sheet(drained, parse_sheet(text.encode()))
     assert rule not in plan.removed
     assert plan.is_empty
     assert {item.name for item in plan.kept} == {"bench-a", "mill-7-clerks"}
 
 
-def test_a_withdrawn_key_stays_withdrawn_and_a_moved_key_is_refused():
-    sheet = parse_sheet(EXAMPLE.read_bytes())
+def test_withdrawn_key_stays_withdrawn_and_moved_key_is_rejected():
+    sheet = parse_sheet(EXAMPLE_SHEET.read_bytes())
     before = apply_sheet(EMPTY_CONFIGURATION, sheet)
-    without = EXAMPLE.read_text().replace("key,mill-7-clerks,mill-7,,,,,,,,,\n", "")
+    without = EXAMPLE_SHEET.read_text().replace(
+        "key,mill-7-clerks,mill-7,,,,,,,,,\n", ""
+    )
     withdrawn = apply_sheet(before, parse_sheet(without.encode()), allow_removal=True)
     assert withdrawn.keys["mill-7-clerks"].withdrawn
     assert plan_sheet(withdrawn, sheet).is_empty
-    moved = EXAMPLE.read_text().replace(
+    moved = EXAMPLE_SHEET.read_text().replace(
         "key,mill-7-clerks,mill-7", "key,mill-7-clerks,public"
     )
     with pytest.raises(SheetError) as caught:
