--- a/buckthornstile/commands/__init__.py
+++ b/buckthornstile/commands/__init__.py
@@ -1,4 +1,4 @@
-"""The command line of daemons and operators."""
+"""Command-line interface for operators and for starting processes."""
 
 from buckthornstile.commands._exit_codes import ExitCode, get_exit_code
 from buckthornstile.commands._main import main
--- a/buckthornstile/commands/_clients.py
+++ b/buckthornstile/commands/_clients.py
@@ -1,4 +1,4 @@
-"""Reaches the store and entries from a command."""
+"""Connects commands to the store and to entries."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -10,14 +10,14 @@
 from buckthornstile.platform import StoreClient
 from buckthornstile.settings import OperatorSettings
 
-Fetch = Callable[[str, float], Awaitable[dict[str, Any]]]
+FetchJson = Callable[[str, float], Awaitable[dict[str, Any]]]
 
 
 def make_store_client(settings: OperatorSettings) -> StoreClient:
-    """Makes a client of the store.
+    """Creates a client of the store.
 
     Args:
-        settings: The operator's settings.
+        settings: Settings of the operator's command.
 
     Raises:
         BuckthornstileError: ``store_address`` is not set.
@@ -25,7 +25,7 @@
     if not settings.store_address:
         raise BuckthornstileError(
             ErrorCode.SETTING_INVALID,
-            "store_address is not set; give --store_address or "
+            "store_address is not set; set --store_address or "
             "BUCKTHORNSTILE_STORE_ADDRESS",
         )
     return StoreClient(settings.store_address)
@@ -35,27 +35,28 @@
     """Fetches a JSON object from an entry.
 
     Args:
-        url: The address.
-        timeout: Seconds to wait.
+        url: URL to fetch.
+        timeout: Timeout of the request, in seconds.
 
     Returns:
-        The object.
+        The decoded object.
 
     Raises:
-        BuckthornstileError: ``CONNECTION_LOST``: no answer or a useless one.
+        BuckthornstileError: ``CONNECTION_LOST``: there is no response, or it is not
+            a JSON object.
     """
     client = AsyncHTTPClient()
     try:
-        answer = await client.fetch(
+        response = await client.fetch(
             url, connect_timeout=timeout, request_timeout=timeout
         )
-        data = json.loads(answer.body)
+        data = json.loads(response.body)
     except (TimeoutError, HTTPClientError, OSError, ValueError) as error:
         raise BuckthornstileError(
-            ErrorCode.CONNECTION_LOST, f"{url} gave no useful answer: {error}"
+            ErrorCode.CONNECTION_LOST, f"request to {url} failed: {error}"
         ) from None
     if not isinstance(data, dict):
         raise BuckthornstileError(
-            ErrorCode.CONNECTION_LOST, f"{url} did not answer with an object"
+            ErrorCode.CONNECTION_LOST, f"response of {url} is not a JSON object"
         )
     return data
--- a/buckthornstile/commands/_config.py
+++ b/buckthornstile/commands/_config.py
@@ -1,4 +1,4 @@
-"""The commands ``config plan|apply|show|history``."""
+"""Implements the commands ``config plan|apply|show|history``."""
 
 import asyncio
 import secrets
@@ -8,8 +8,8 @@
 from buckthornstile.base import BuckthornstileError, ErrorCode
 from buckthornstile.commands._context import (
     make_change_id,
+    make_configuration_client,
     make_context,
-    make_reader,
     parse_flag,
     wait_and_report_change,
 )
@@ -31,7 +31,7 @@
 )
 
 MAX_SHEET_BYTES = 16 << 20
-"""Larger files are not even read."""
+"""Maximum number of bytes that are read from a sheet's file."""
 
 
 def show_plan(
@@ -41,24 +41,24 @@
     json: object = False,
     **flags: object,
 ) -> None:
-    """Shows what applying a sheet would add, change and remove.
+    """Shows the items that applying a sheet would add, change and remove.
 
     Args:
         sheet: Path of a CSV or XLSX sheet.
-        allow_removal: Plan also to remove a large share, and to withdraw keys that
-            the sheet does not name.
+        allow_removal: Allow the removal of a large fraction of the items, and withdraw
+            keys that the sheet does not list.
         json: Print one JSON object.
         **flags: Settings: store_address, store_timeout.
     """
     context = make_context(flags, json)
-    parsed = read_sheet(sheet)
-    reader = make_reader(context)
-    configuration = asyncio.run(reader.read())
+    parsed_sheet = read_sheet(sheet)
+    client = make_configuration_client(context)
+    configuration = asyncio.run(client.read())
     allowed = parse_flag("allow_removal", allow_removal)
-    plan = plan_sheet(configuration, parsed, allow_removal=allowed)
+    plan = plan_sheet(configuration, parsed_sheet, allow_removal=allowed)
     check_plan(configuration, plan)
     lines = [f"plan against revision {plan.base_revision}", *describe_plan(plan)]
-    context.show(_export_plan(plan) | {"revision": plan.base_revision}, lines)
+    context.print_result(_export_plan(plan) | {"revision": plan.base_revision}, lines)
 
 
 def apply_sheet(
@@ -68,36 +68,36 @@
     json: object = False,
     **flags: object,
 ) -> None:
-    """Applies a sheet whole and waits until it is in force.
+    """Applies a sheet as one change and waits until it is in effect.
 
-    Each new key's clear text is printed once, here, and never again.
+    The clear text of each new key is printed by this command only, and only once.
 
     Args:
         sheet: Path of a CSV or XLSX sheet.
-        allow_removal: Allow to remove a large share, and to withdraw keys that the
-            sheet does not name.
+        allow_removal: Allow the removal of a large fraction of the items, and withdraw
+            keys that the sheet does not list.
         json: Print one JSON object.
         **flags: Settings: store_address, store_timeout, entries, wait_timeout,
             operator.
     """
     context = make_context(flags, json)
-    parsed = read_sheet(sheet)
+    parsed_sheet = read_sheet(sheet)
     allowed = parse_flag("allow_removal", allow_removal)
-    reader = make_reader(context)
-    maker = SheetChangeBuilder(
-        parsed, allow_removal=allowed, operator=context.settings.operator
+    client = make_configuration_client(context)
+    builder = SheetChangeBuilder(
+        parsed_sheet, allow_removal=allowed, operator=context.settings.operator
     )
 
     async def run() -> None:
-        result = await submit_change(reader, maker.make)
-        keys = maker.keys if result.changed else ()
+        result = await submit_change(client, builder.build)
+        keys = builder.keys if result.changed else ()
         await wait_and_report_change(
             context,
             result,
-            what="sheet",
+            description="sheet",
             data={"keys": {key.item.name: key.clear for key in keys}},
             lines=[
-                *describe_plan(maker.plan or SheetPlan(result.revision)),
+                *describe_plan(builder.plan or SheetPlan(result.revision)),
                 *(f"key {key.item.name}: {key.clear}" for key in keys),
             ],
         )
@@ -106,20 +106,20 @@
 
 
 def show_configuration(*, json: object = False, **flags: object) -> None:
-    """Shows the configuration as the store holds it now.
+    """Shows the current configuration in the store.
 
     Args:
         json: Print one JSON object.
         **flags: Settings: store_address, store_timeout.
     """
     context = make_context(flags, json)
-    reader = make_reader(context)
-    current = asyncio.run(reader.read())
+    client = make_configuration_client(context)
+    current = asyncio.run(client.read())
     items = [_export_item(item) for item in current.list_items()]
-    lines = [f"revision {current.revision}, made at offset {current.last_offset}"]
+    lines = [f"revision {current.revision}, created at offset {current.last_offset}"]
     lines += [_describe_item(item) for item in current.list_items()]
     data = {"revision": current.revision, "offset": current.last_offset, "items": items}
-    context.show(data, lines)
+    context.print_result(data, lines)
 
 
 def show_history(*, json: object = False, **flags: object) -> None:
@@ -130,33 +130,36 @@
         **flags: Settings: store_address, store_timeout.
     """
     context = make_context(flags, json)
-    reader = make_reader(context)
-    asyncio.run(reader.read())
+    client = make_configuration_client(context)
+    asyncio.run(client.read())
     changes = [
         {
-            "revision": note.revision,
-            "change_id": note.change_id,
-            "operator": note.operator,
-            "put": [f"{item.kind} {item.name}" for item in note.put],
-            "remove": [f"{item.kind} {item.name}" for item in note.remove],
+            "revision": change.revision,
+            "change_id": change.change_id,
+            "operator": change.operator,
+            "put": [f"{item.kind} {item.name}" for item in change.put],
+            "remove": [f"{item.kind} {item.name}" for item in change.remove],
         }
-        for note in reader.state.list_recent_changes()
+        for change in client.state.list_recent_changes()
     ]
     lines = [
-        f"revision {change['revision']} by {change['operator'] or 'unnamed'}: "
-        f"put {_join(change['put'])}; removed {_join(change['remove'])}"
+        f"revision {change['revision']} by {change['operator'] or 'unnamed operator'}: "
+        f"put {_join_names(change['put'])}; removed {_join_names(change['remove'])}"
         for change in changes
     ]
-    context.show({"changes": changes}, lines or ["the store holds no change"])
+    context.print_result({"changes": changes}, lines or ["the store holds no changes"])
 
 
 class SheetChangeBuilder:
-    """Makes the same change again after a conflict, if the plan still stands.
+    """Builds the change that applies a sheet, again after each conflict.
+
+    After a conflict, the plan must still be the same as in the first attempt.
 
     Args:
-        sheet: The sheet.
-        allow_removal: Whether much may be removed.
-        operator: Who makes the change.
+        sheet: The sheet to apply.
+        allow_removal: Whether a large fraction of the items may be removed, and keys
+            that the sheet does not list are withdrawn.
+        operator: Name of the operator who makes the change.
     """
 
     def __init__(self, sheet: Sheet, *, allow_removal: bool, operator: str) -> None:
@@ -167,8 +170,8 @@
         self.plan: SheetPlan | None = None
         self.keys: tuple[GeneratedApiKey, ...] = ()
 
-    def make(self, configuration: Configuration) -> ConfigurationChange | None:
-        """Makes the change for a configuration, or None if it is in force."""
+    def build(self, configuration: Configuration) -> ConfigurationChange | None:
+        """Builds the change for a configuration, or None if no change is needed."""
         plan = plan_sheet(configuration, self.sheet, allow_removal=self.allow_removal)
         if plan.is_empty:
             return None
@@ -177,8 +180,8 @@
         elif plan != self.plan:
             raise BuckthornstileError(
                 ErrorCode.CONFIGURATION_CONFLICT,
-                "another operator's change alters what the sheet would do; "
-                "look at the plan again",
+                "another operator's change alters the plan of the sheet; "
+                "check the plan again",
             )
         self.plan = plan
         return make_sheet_change(
@@ -190,32 +193,32 @@
 
 
 def read_sheet(path: str) -> Sheet:
-    """Reads a sheet's file.
+    """Reads and parses the file of a sheet.
 
     Args:
-        path: The file's path.
+        path: Path of the file.
 
     Returns:
-        The sheet.
+        The parsed sheet.
 
     Raises:
-        BuckthornstileError: The file cannot be read, or the sheet is refused.
+        BuckthornstileError: The file cannot be read, or the sheet is invalid.
     """
     try:
         with Path(path).open("rb") as file:
             data = file.read(MAX_SHEET_BYTES)
     except (OSError, ValueError) as error:
         raise BuckthornstileError(
-            ErrorCode.SHEET_INVALID, f"cannot read {path!r}: {error}"
+            ErrorCode.SHEET_INVALID, f"cannot read sheet {path!r}: {error}"
         ) from None
     return parse_sheet(data)
 
 
 def check_plan(configuration: Configuration, plan: SheetPlan) -> None:
-    """Checks that a plan's change would be accepted.
+    """Checks that the change of a plan is valid for a configuration.
 
     Raises:
-        BuckthornstileError: It would be rejected.
+        BuckthornstileError: The change is invalid.
 
     Example:
         >>> check_plan(Configuration(), SheetPlan(Configuration().revision))
@@ -226,7 +229,7 @@
 
 
 def describe_plan(plan: SheetPlan) -> list[str]:
-    """Describes a plan, one line an item.
+    """Describes a plan in lines of text, one line per item.
 
     Example:
         >>> describe_plan(SheetPlan(Configuration().revision))
@@ -237,7 +240,9 @@
     lines += [f"~ {_describe_item(item)}" for item in plan.changed]
     lines += [f"- {item.kind} {item.name}" for item in plan.removed]
     lines += [f"- key {key.name} (withdrawn)" for key in plan.withdrawn_keys]
-    lines += [f"  {item.kind} {item.name} stays, unnamed" for item in plan.kept]
+    lines += [
+        f"  {item.kind} {item.name} is not in the sheet and stays" for item in plan.kept
+    ]
     lines.append(
         f"{len(plan.added) + len(plan.new_keys)} to add, {len(plan.changed)} to "
         f"change, {len(plan.removed) + len(plan.withdrawn_keys)} to remove, "
@@ -264,13 +269,13 @@
 
 def _describe_item(item: ConfigurationItem) -> str:
     fields = _export_item(item)
-    rest = " ".join(
+    field_texts = " ".join(
         f"{name}={value}"
         for name, value in fields.items()
         if name not in ("kind", "name") and value not in ("", "*")
     )
-    return f"{item.kind} {item.name} {rest}".rstrip()
+    return f"{item.kind} {item.name} {field_texts}".rstrip()
 
 
-def _join(names: object) -> str:
+def _join_names(names: object) -> str:
     return ", ".join(names) if isinstance(names, list) and names else "nothing"
--- a/buckthornstile/commands/_context.py
+++ b/buckthornstile/commands/_context.py
@@ -1,4 +1,4 @@
-"""What the operators' commands share: flags, output and the end of a change."""
+"""Shared code of the operators' commands: flags, output and reports on changes."""
 
 import json
 import secrets
@@ -22,10 +22,10 @@
 
 
 class CommandExit(Exception):  # noqa: N818
-    """Ends a command with an exit code after its output.
+    """Raised to end a command with an exit code after it has printed its result.
 
     Args:
-        exit_code: The exit code.
+        exit_code: Exit code of the process.
     """
 
     def __init__(self, exit_code: ExitCode) -> None:
@@ -34,43 +34,43 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Context:
-    """An operator's command's settings and form of output."""
+class CommandContext:
+    """Settings and output format of an operator's command."""
 
     settings: OperatorSettings
     as_json: bool
 
-    def show(self, data: dict[str, Any], lines: Sequence[str]) -> None:
-        """Prints the result: one JSON object, or lines for a person."""
+    def print_result(self, data: dict[str, Any], lines: Sequence[str]) -> None:
+        """Prints the result as one JSON object or as lines of text."""
         if self.as_json:
             print(json.dumps({"ok": True} | data, ensure_ascii=False))
         else:
             print("\n".join(lines))
 
 
-def make_context(flags: dict[str, object], as_json: object) -> Context:
-    """Makes a command's context, or refuses what it does not know.
+def make_context(flags: dict[str, object], as_json: object) -> CommandContext:
+    """Creates the context of a command from its flags.
 
     Args:
-        flags: Flags beyond the command's parameters; settings.
-        as_json: The flag ``--json``.
+        flags: Settings, given as flags that are not parameters of the command.
+        as_json: Value of the flag ``--json``.
 
     Returns:
         The context.
 
     Raises:
-        BuckthornstileError: A flag is unknown.
+        BuckthornstileError: A flag is unknown or has an invalid value.
 
     Example:
         >>> make_context({}, "True").as_json
         True
     """
     settings = load_settings(OperatorSettings, flags)
-    return Context(settings, parse_flag("json", as_json))
+    return CommandContext(settings, parse_flag("json", as_json))
 
 
-def make_reader(context: Context) -> ConfigurationClient:
-    """Makes the reader of the configuration in the store.
+def make_configuration_client(context: CommandContext) -> ConfigurationClient:
+    """Creates a client of the configuration in the store.
 
     Raises:
         BuckthornstileError: ``store_address`` is not set.
@@ -82,14 +82,14 @@
 
 
 def parse_flag(name: str, value: object) -> bool:
-    """Parses a flag that is given or not.
+    """Parses a boolean flag.
 
     Args:
-        name: The flag's name.
-        value: Its value, or its text on the command line.
+        name: Name of the flag.
+        value: Value of the flag, or its text on the command line.
 
     Returns:
-        Whether it is set.
+        Whether the flag is set.
 
     Raises:
         BuckthornstileError: The text is neither true nor false.
@@ -107,7 +107,7 @@
 
 
 def make_change_id() -> ChangeId:
-    """Makes an id for one change, kept on all its retries.
+    """Generates the id of a change, which stays the same on all retries.
 
     Example:
         >>> len(make_change_id())
@@ -117,52 +117,52 @@
 
 
 async def wait_and_report_change(
-    context: Context,
+    context: CommandContext,
     result: SubmitResult,
     *,
-    what: str,
+    description: str,
     data: dict[str, Any] | None = None,
     lines: Sequence[str] = (),
 ) -> None:
-    """Waits until a change is in force and shows what became of it.
+    """Waits until a change is in effect and prints its result.
 
     Args:
-        context: The command's context.
-        result: What became of the change.
-        what: What was done, for a person.
-        data: More for the JSON object.
-        lines: More lines for a person, shown first.
+        context: Context of the command.
+        result: Result of submitting the change.
+        description: Description of the change, for people.
+        data: Additional fields of the JSON object.
+        lines: Additional lines of text, which are printed first.
 
     Raises:
-        CommandExit: It is not yet in force everywhere.
+        CommandExit: The change is not yet in effect on every entry.
     """
     entries = context.settings.list_entries()
-    in_force = PropagationStatus()
+    status = PropagationStatus()
     if entries:
-        in_force = await wait_until_propagated(
+        status = await wait_until_propagated(
             entries, result, timeout=context.settings.wait_timeout
         )
-    state = "accepted" if result.changed else "nothing to change"
-    shown = [*lines, f"{what}: {state}, revision {result.revision}"]
-    shown.append(_describe(in_force))
-    context.show(
+    state = "accepted" if result.changed else "no change needed"
+    output_lines = [*lines, f"{description}: {state}, revision {result.revision}"]
+    output_lines.append(_describe_propagation(status))
+    context.print_result(
         (data or {})
         | {
             "changed": result.changed,
             "revision": result.revision,
             "offset": result.offset,
-            "in_force": asdict(in_force),
+            "in_force": asdict(status),
         },
-        shown,
+        output_lines,
     )
-    if in_force.behind:
+    if status.behind:
         raise CommandExit(ExitCode.NOT_IN_FORCE)
 
 
-def _describe(in_force: PropagationStatus) -> str:
-    if not in_force.asked:
-        return "no entries were asked whether it is in force (see --entries)"
-    if not in_force.behind:
-        return f"in force on all after {in_force.waited:.1f} s"
-    names = ", ".join(in_force.behind)
-    return f"not yet in force on {len(in_force.behind)}: {names}"
+def _describe_propagation(status: PropagationStatus) -> str:
+    if not status.asked:
+        return "not checked whether it is in effect: no entries are set (see --entries)"
+    if not status.behind:
+        return f"in effect on all entries after {status.waited:.1f} s"
+    names = ", ".join(status.behind)
+    return f"not yet in effect on {len(status.behind)}: {names}"
--- a/buckthornstile/commands/_exit_codes.py
+++ b/buckthornstile/commands/_exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes by class of error."""
+"""Exit codes of the commands and their mapping from error codes."""
 
 from enum import IntEnum
 
@@ -6,13 +6,17 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended.
-
-    ``OK``: done, or nothing to do. ``INTERNAL``: a fault of the program.
-    ``BAD_INPUT``: flags, settings, sheet or names. ``CONFLICT``: another operator
-    was first. ``PLATFORM_UNAVAILABLE``: the platform or an entry gave no answer; a
-    change may have taken effect. ``NOT_IN_FORCE``: accepted, but not yet in force
-    on every process that was asked. ``REFUSED``: needs an explicit flag.
+    """Exit code of a command.
+
+    - ``OK``: The command succeeded, or there was nothing to do.
+    - ``INTERNAL``: The program has a fault, or the command was interrupted.
+    - ``BAD_INPUT``: A flag, a setting, the sheet or a name is invalid.
+    - ``CONFLICT``: Another operator's change was accepted first.
+    - ``PLATFORM_UNAVAILABLE``: The platform or an entry did not respond; a change may
+      have taken effect.
+    - ``NOT_IN_FORCE``: The change is accepted, but it is not yet in effect on every
+      process that was asked.
+    - ``REFUSED``: The change requires an explicit flag.
     """
 
     OK = 0
@@ -37,13 +41,14 @@
 
 
 def get_exit_code(code: ErrorCode) -> ExitCode:
-    """Gives the exit code for an error's code.
+    """Returns the exit code for an error code.
 
     Args:
-        code: The error's code.
+        code: Code of the error.
 
     Returns:
-        The exit code; ``INTERNAL`` for codes that no command is meant to end with.
+        The exit code; ``INTERNAL`` for error codes that no command is expected to
+        raise.
 
     Example:
         >>> int(get_exit_code(ErrorCode.CONFIGURATION_CONFLICT))
--- a/buckthornstile/commands/_keys.py
+++ b/buckthornstile/commands/_keys.py
@@ -1,4 +1,4 @@
-"""The commands ``keys add|withdraw``, ``drain`` and ``restore``."""
+"""Implements the commands ``keys add|withdraw``, ``drain`` and ``restore``."""
 
 import asyncio
 import secrets
@@ -12,13 +12,13 @@
     KeyId,
 )
 from buckthornstile.commands._context import (
-    Context,
+    CommandContext,
     make_change_id,
+    make_configuration_client,
     make_context,
-    make_reader,
     wait_and_report_change,
 )
-from buckthornstile.commands._submit import MakeChange, submit_change
+from buckthornstile.commands._submit import ChangeFactory, submit_change
 from buckthornstile.configuration import (
     Configuration,
     ConfigurationChange,
@@ -36,14 +36,14 @@
     json: object = False,
     **flags: object,
 ) -> None:
-    """Makes a key for a client account and prints its clear text once.
+    """Creates an API key for a client account and prints its clear text once.
 
-    With ``--name`` the command is idempotent: a key of that name that exists for
-    the account is left as it is, and its clear text is not shown again.
+    With ``--name`` the command is idempotent: if the account already has a key of
+    that name, the key stays and its clear text is not printed again.
 
     Args:
-        account: The client account.
-        name: The key's public id; made from the account's name if left out.
+        account: Name of the client account.
+        name: Public id of the key; generated from the account's name if left out.
         json: Print one JSON object.
         **flags: Settings: store_address, store_timeout, entries, wait_timeout,
             operator.
@@ -54,10 +54,10 @@
     )
     change_id = make_change_id()
 
-    def make(configuration: Configuration) -> ConfigurationChange | None:
-        before = configuration.keys.get(key.item.name)
-        if before is not None and before.digest != key.item.digest:
-            _check_same_account(before.account, key.item.account, before.withdrawn)
+    def build_change(configuration: Configuration) -> ConfigurationChange | None:
+        existing = configuration.keys.get(key.item.name)
+        if existing is not None and existing.digest != key.item.digest:
+            _check_same_account(existing.account, key.item.account, existing.withdrawn)
             return None
         return ConfigurationChange(
             change_id=change_id,
@@ -67,32 +67,32 @@
         )
 
     async def run() -> None:
-        reader = make_reader(context)
-        result = await submit_change(reader, make)
-        shown = result.changed
+        client = make_configuration_client(context)
+        result = await submit_change(client, build_change)
+        is_new = result.changed
         await wait_and_report_change(
             context,
             result,
-            what=f"key {key.item.name}",
-            data={"keys": {key.item.name: key.clear} if shown else {}},
-            lines=[f"key {key.item.name}: {key.clear}"] if shown else [],
+            description=f"key {key.item.name}",
+            data={"keys": {key.item.name: key.clear} if is_new else {}},
+            lines=[f"key {key.item.name}: {key.clear}"] if is_new else [],
         )
 
     asyncio.run(run())
 
 
 def withdraw_key(name: str, *, json: object = False, **flags: object) -> None:
-    """Withdraws a key for good and waits until it has stopped working.
+    """Withdraws an API key permanently and waits until it is rejected everywhere.
 
     Args:
-        name: The key's public id.
+        name: Public id of the key.
         json: Print one JSON object.
         **flags: Settings: store_address, store_timeout, entries, wait_timeout,
             operator.
     """
     context = make_context(flags, json)
 
-    def change(configuration: Configuration) -> ConfigurationItem | None:
+    def build_item(configuration: Configuration) -> ConfigurationItem | None:
         key = configuration.keys.get(KeyId(name))
         if key is None:
             raise BuckthornstileError(
@@ -100,7 +100,11 @@
             )
         return None if key.withdrawn else key.model_copy(update={"withdrawn": True})
 
-    _run_change(context, _make_put(context, change), what=f"withdrawal of {name}")
+    _run_change(
+        context,
+        _make_put_factory(context, build_item),
+        description=f"withdrawal of {name}",
+    )
 
 
 def drain(
@@ -110,11 +114,11 @@
     json: object = False,
     **flags: object,
 ) -> None:
-    """Takes a failure domain out: it gets no new work.
+    """Drains a failure domain, so that it gets no new work.
 
     Args:
-        failure_domain: The failure domain.
-        reason: Why, for other operators.
+        failure_domain: Name of the failure domain.
+        reason: Reason of the drain, for other operators.
         json: Print one JSON object.
         **flags: Settings: store_address, store_timeout, entries, wait_timeout,
             operator.
@@ -122,19 +126,21 @@
     context = make_context(flags, json)
     name = FailureDomain(failure_domain)
 
-    def change(configuration: Configuration) -> ConfigurationItem | None:
+    def build_item(configuration: Configuration) -> ConfigurationItem | None:
         if configuration.is_drained(name):
             return None
         return Drain(name=name, reason=reason)
 
-    _run_change(context, _make_put(context, change), what=f"drain of {name}")
+    _run_change(
+        context, _make_put_factory(context, build_item), description=f"drain of {name}"
+    )
 
 
 def restore(failure_domain: str, *, json: object = False, **flags: object) -> None:
-    """Brings a drained failure domain back.
+    """Restores a drained failure domain, so that it gets new work again.
 
     Args:
-        failure_domain: The failure domain.
+        failure_domain: Name of the failure domain.
         json: Print one JSON object.
         **flags: Settings: store_address, store_timeout, entries, wait_timeout,
             operator.
@@ -143,7 +149,7 @@
     name = FailureDomain(failure_domain)
     change_id = make_change_id()
 
-    def make(configuration: Configuration) -> ConfigurationChange | None:
+    def build_change(configuration: Configuration) -> ConfigurationChange | None:
         if not configuration.is_drained(name):
             return None
         return ConfigurationChange(
@@ -153,16 +159,18 @@
             operator=context.settings.operator,
         )
 
-    _run_change(context, make, what=f"restore of {name}")
+    _run_change(context, build_change, description=f"restore of {name}")
 
 
-def _make_put(
-    context: Context, choose: Callable[[Configuration], ConfigurationItem | None]
-) -> MakeChange:
+def _make_put_factory(
+    context: CommandContext,
+    build_item: Callable[[Configuration], ConfigurationItem | None],
+) -> ChangeFactory:
+    """Returns a factory of the change that puts one item into the configuration."""
     change_id = make_change_id()
 
-    def make(configuration: Configuration) -> ConfigurationChange | None:
-        item = choose(configuration)
+    def build_change(configuration: Configuration) -> ConfigurationChange | None:
+        item = build_item(configuration)
         if item is None:
             return None
         return ConfigurationChange(
@@ -172,21 +180,24 @@
             operator=context.settings.operator,
         )
 
-    return make
+    return build_change
 
 
-def _run_change(context: Context, make: MakeChange, *, what: str) -> None:
+def _run_change(
+    context: CommandContext, build_change: ChangeFactory, *, description: str
+) -> None:
     async def run() -> None:
-        reader = make_reader(context)
-        result = await submit_change(reader, make)
-        await wait_and_report_change(context, result, what=what)
+        client = make_configuration_client(context)
+        result = await submit_change(client, build_change)
+        await wait_and_report_change(context, result, description=description)
 
     asyncio.run(run())
 
 
-def _check_same_account(before: AccountId, wanted: AccountId, withdrawn: bool) -> None:
-    if before != wanted or withdrawn:
-        state = "is withdrawn" if withdrawn else f"belongs to {before}"
+def _check_same_account(current: AccountId, wanted: AccountId, withdrawn: bool) -> None:
+    if current != wanted or withdrawn:
+        state = "is withdrawn" if withdrawn else f"belongs to account {current}"
         raise BuckthornstileError(
-            ErrorCode.CONFIGURATION_INVALID, f"a key of that name exists and {state}"
+            ErrorCode.CONFIGURATION_INVALID,
+            f"a key of that name already exists and {state}",
         )
--- a/buckthornstile/commands/_main.py
+++ b/buckthornstile/commands/_main.py
@@ -1,8 +1,8 @@
-"""Finds the command, lets fire bind its words, runs it, and gives the exit code.
+"""Runs the command that the command line names and returns its exit code.
 
-Left to itself, fire runs a function before it complains of words that it could not
-use, and pages its help through another program. Here it only binds the words; the
-command runs once all of them are used, and help is printed plainly.
+By default, fire runs a function before it reports arguments that it could not use,
+and shows help through a pager. Here fire only binds the arguments: the command runs
+after fire has used all of them, and help is printed directly.
 """
 
 import contextlib
@@ -35,7 +35,7 @@
 from buckthornstile.commands._queries import explain, show_status, show_usage
 from buckthornstile.logs import redact_keys
 
-NAME = "buckthornstile"
+PROGRAM_NAME = "buckthornstile"
 HELP_FLAGS = ("-h", "--help")
 BOOLEAN_FLAGS = ("--json", "--allow_removal", "--context")
 
@@ -60,10 +60,10 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Runs one command.
+    """Runs the command that the arguments name.
 
     Args:
-        arguments: The words of the command line, or None for the process's own.
+        arguments: Arguments of the command line; those of the process if None.
 
     Returns:
         The exit code; see :class:`ExitCode`.
@@ -73,91 +73,99 @@
         {"ok": true, "settings": {...}, "unknown_variables": []}
         0
     """
-    words = list(sys.argv[1:] if arguments is None else arguments)
-    name = find_command(words)
+    command_line = list(sys.argv[1:] if arguments is None else arguments)
+    name = find_command(command_line)
     if name is None:
-        return _show_commands(words)
-    rest = words[len(name.split()) :]
-    if any(word in HELP_FLAGS for word in rest):
-        print(_render_help(name))
+        return _show_commands(command_line)
+    command_arguments = command_line[len(name.split()) :]
+    if any(argument in HELP_FLAGS for argument in command_arguments):
+        print(_format_help(name))
         return int(ExitCode.OK)
-    return int(_run_command(name, rest))
+    return int(_run_command(name, command_arguments))
 
 
-def _run_command(name: str, words: Sequence[str]) -> ExitCode:
-    as_json = any(word.startswith("--json") for word in words)
+def _run_command(name: str, arguments: Sequence[str]) -> ExitCode:
+    as_json = any(argument.startswith("--json") for argument in arguments)
     try:
-        _bind_words(name, words)()
+        _bind_arguments(name, arguments)()
     except BuckthornstileError as error:
         _show_error(error, as_json=as_json)
         return get_exit_code(error.code)
-    except CommandExit as end:
-        return end.exit_code
+    except CommandExit as command_exit:
+        return command_exit.exit_code
     except KeyboardInterrupt:
         return ExitCode.INTERNAL
     return ExitCode.OK
 
 
-def _bind_words(name: str, words: Sequence[str]) -> Callable[[], None]:
-    """Binds words to a command's parameters, all as texts."""
+def _bind_arguments(name: str, arguments: Sequence[str]) -> Callable[[], None]:
+    """Binds command-line arguments to a command's parameters, all as strings."""
     command = COMMANDS[name]
     bound: list[Callable[[], None]] = []
 
     @functools.wraps(command)
-    def record(*values: str, **flags: str) -> None:
+    def bind(*values: str, **flags: str) -> None:
         bound.append(functools.partial(command, *values, **flags))
 
-    # Fire would read "007" as a number.
-    parsing = SetParseFn(str)(record)
-    complaint = io.StringIO()
+    # Without this, fire would parse "007" as a number.
+    text_command = SetParseFn(str)(bind)
+    fire_errors = io.StringIO()
     try:
-        with contextlib.redirect_stderr(complaint):
-            fire.Fire(parsing, command=_prepare(words), name=f"{NAME} {name}")
+        with contextlib.redirect_stderr(fire_errors):
+            fire.Fire(
+                text_command,
+                command=_prepare_arguments(arguments),
+                name=f"{PROGRAM_NAME} {name}",
+            )
     except SystemExit:
         bound.clear()
     if not bound:
-        reason = complaint.getvalue().partition("\n")[0].removeprefix("ERROR: ")
+        reason = fire_errors.getvalue().partition("\n")[0].removeprefix("ERROR: ")
         raise BuckthornstileError(
-            ErrorCode.SETTING_INVALID, f"{reason}\n{_render_usage(name)}"
+            ErrorCode.SETTING_INVALID, f"{reason}\n{_format_usage(name)}"
         )
     return bound[0]
 
 
-def find_command(words: Sequence[str]) -> str | None:
-    """Finds the command that a command line begins with.
+def find_command(arguments: Sequence[str]) -> str | None:
+    """Returns the command whose name a command line starts with.
 
     Args:
-        words: The words of the command line.
+        arguments: Arguments of the command line.
 
     Returns:
-        The command's name, or None.
+        The name of the command, or None if there is no such command.
 
     Example:
         >>> find_command(["config", "plan", "sheet.csv"])
         'config plan'
     """
     for count in (2, 1):
-        name = " ".join(words[:count])
-        if len(words) >= count and name in COMMANDS:
+        name = " ".join(arguments[:count])
+        if len(arguments) >= count and name in COMMANDS:
             return name
     return None
 
 
-def _prepare(words: Sequence[str]) -> list[str]:
-    """Makes words safe for fire."""
+def _prepare_arguments(arguments: Sequence[str]) -> list[str]:
+    """Prepares arguments for fire and rejects its own separators."""
     prepared = []
-    for word in words:
-        if word in ("-", "--"):
+    for argument in arguments:
+        if argument in ("-", "--"):
             raise BuckthornstileError(
-                ErrorCode.SETTING_INVALID, f"the command does not take {word!r}"
+                ErrorCode.SETTING_INVALID, f"argument {argument!r} is not allowed"
             )
-        flag = "--" + word[2:].replace("-", "_") if word.startswith("--") else word
-        # Without a value of its own the flag would take the next word as one.
-        prepared.append(f"{flag}=True" if flag in BOOLEAN_FLAGS else word)
+        flag = (
+            "--" + argument[2:].replace("-", "_")
+            if argument.startswith("--")
+            else argument
+        )
+        # Without an explicit value, fire would use the next argument as the value.
+        prepared.append(f"{flag}=True" if flag in BOOLEAN_FLAGS else argument)
     return prepared
 
 
-def _render_usage(name: str) -> str:
+def _format_usage(name: str) -> str:
     parameters = inspect.signature(COMMANDS[name]).parameters.values()
     words = []
     for parameter in parameters:
@@ -171,28 +179,28 @@
             words.append(parameter.name.upper())
         else:
             words.append(f"[{parameter.name.upper()}]")
-    return " ".join(["usage:", NAME, name, *words])
+    return " ".join(["usage:", PROGRAM_NAME, name, *words])
 
 
-def _render_help(name: str) -> str:
+def _format_help(name: str) -> str:
     text = inspect.getdoc(COMMANDS[name]) or ""
-    return f"{_render_usage(name)}\n\n{text.replace('**flags: ', '')}"
+    return f"{_format_usage(name)}\n\n{text.replace('**flags: ', '')}"
 
 
-def _show_commands(words: Sequence[str]) -> int:
-    names = [word for word in words if word not in HELP_FLAGS]
+def _show_commands(arguments: Sequence[str]) -> int:
+    names = [argument for argument in arguments if argument not in HELP_FLAGS]
     group = names[0] if names else ""
     listed = [name for name in COMMANDS if name.split()[0] == group] or list(COMMANDS)
     is_known = not names or (len(names) == 1 and group in listed[0].split())
     stream = sys.stdout if is_known else sys.stderr
     if not is_known:
-        print(f"{' '.join(names[:2])!r} is no command", file=stream)
+        print(f"{' '.join(names[:2])!r} is not a command", file=stream)
     for name in listed:
         summary = (COMMANDS[name].__doc__ or "").splitlines()[0]
-        print(f"{NAME} {name:18} {summary}", file=stream)
-    asked_help = len(names) < len(words) or not words
-    is_fine = is_known and asked_help
-    return int(ExitCode.OK if is_fine else ExitCode.BAD_INPUT)
+        print(f"{PROGRAM_NAME} {name:18} {summary}", file=stream)
+    is_help_requested = len(names) < len(arguments) or not arguments
+    is_success = is_known and is_help_requested
+    return int(ExitCode.OK if is_success else ExitCode.BAD_INPUT)
 
 
 def _show_error(error: BuckthornstileError, *, as_json: bool) -> None:
--- a/buckthornstile/commands/_propagation.py
+++ b/buckthornstile/commands/_propagation.py
@@ -1,4 +1,4 @@
-"""Asks entries whether a change is in force on them."""
+"""Polls entries until a configuration change is in effect on them."""
 
 import asyncio
 import time
@@ -7,24 +7,25 @@
 from typing import Any
 
 from buckthornstile.base import BuckthornstileError
-from buckthornstile.commands._clients import Fetch, fetch_json
+from buckthornstile.commands._clients import FetchJson, fetch_json
 from buckthornstile.commands._submit import Sleep, SubmitResult
 
-POLL_INTERVAL = 0.2
-"""Time between two questions to the same entry, in seconds."""
+POLL_INTERVAL_S = 0.2
+"""Time between two status requests to the same entry, in seconds."""
 
-FETCH_TIMEOUT = 2.0
-"""Time to wait for one answer, in seconds."""
+STATUS_TIMEOUT_S = 2.0
+"""Timeout of one status request, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class PropagationStatus:
-    """Where a change is in force.
+    """The result of waiting until a change is in effect.
 
     Args:
-        asked: Entries that were asked.
-        behind: Processes on which it is not yet, or that gave no answer.
-        waited: Seconds that it took.
+        asked: Number of entries that were asked.
+        behind: Processes on which the change is not yet in effect, or that did not
+            respond.
+        waited: Time that was spent waiting, in seconds.
     """
 
     asked: int = 0
@@ -37,37 +38,40 @@
     result: SubmitResult,
     *,
     timeout: float,
-    fetch: Fetch = fetch_json,
+    fetch: FetchJson = fetch_json,
     clock: Callable[[], float] = time.monotonic,
     sleep: Sleep = asyncio.sleep,
 ) -> PropagationStatus:
-    """Waits until every entry has a change, or time is up.
+    """Waits until a change is in effect on every entry, or until a timeout.
 
     Args:
-        entries: The entries' base URLs.
-        result: The change's revision and offset.
-        timeout: Seconds to wait at most.
-        fetch: Fetches a JSON object.
-        clock: Gives the time in seconds.
-        sleep: Waits that many seconds.
+        entries: Base URLs of the entries.
+        result: Result of submitting the change.
+        timeout: Maximum time to wait, in seconds.
+        fetch: Fetches a JSON object from a URL, with a timeout in seconds.
+        clock: Returns the current time, in seconds.
+        sleep: Waits for the given number of seconds.
 
     Returns:
-        Where it is in force.
+        The entries that were asked and the processes on which the change is not yet
+        in effect.
     """
-    started = clock()
+    started_at = clock()
     behind: tuple[str, ...] = tuple(entries)
-    for _ in range(max(1, int(timeout / POLL_INTERVAL) + 1)):
-        found = await asyncio.gather(*(_ask(url, result, fetch) for url in entries))
-        behind = tuple(dict.fromkeys(name for names in found for name in names))
-        if not behind or clock() - started >= timeout:
+    for _ in range(max(1, int(timeout / POLL_INTERVAL_S) + 1)):
+        results = await asyncio.gather(
+            *(_check_entry(url, result, fetch) for url in entries)
+        )
+        behind = tuple(dict.fromkeys(name for names in results for name in names))
+        if not behind or clock() - started_at >= timeout:
             break
-        await sleep(POLL_INTERVAL)
-    return PropagationStatus(len(entries), behind, clock() - started)
+        await sleep(POLL_INTERVAL_S)
+    return PropagationStatus(len(entries), behind, clock() - started_at)
 
 
-async def _ask(url: str, result: SubmitResult, fetch: Fetch) -> list[str]:
+async def _check_entry(url: str, result: SubmitResult, fetch: FetchJson) -> list[str]:
     try:
-        status = await fetch(f"{url}/v1/status", FETCH_TIMEOUT)
+        status = await fetch(f"{url}/v1/status", STATUS_TIMEOUT_S)
     except BuckthornstileError:
         return [f"{url} (no answer)"]
     return find_outdated_processes(url, status, result)
@@ -76,15 +80,15 @@
 def find_outdated_processes(
     url: str, status: dict[str, Any], result: SubmitResult
 ) -> list[str]:
-    """Finds the processes that a status shows without the change.
+    """Returns the processes whose status shows that a change is not yet in effect.
 
     Args:
-        url: The entry's base URL.
-        status: Its status, with ``configuration.revision``.
-        result: The change's revision and offset.
+        url: Base URL of the entry.
+        status: Status of the entry, with ``configuration.revision``.
+        result: Result of submitting the change.
 
     Returns:
-        The names of the processes.
+        The base URL of the entry, or an empty list if the change is in effect.
 
     Example:
         >>> result = SubmitResult(2, 7, True)
--- a/buckthornstile/commands/_queries.py
+++ b/buckthornstile/commands/_queries.py
@@ -1,4 +1,4 @@
-"""The commands ``status``, ``explain`` and ``usage``, which only read."""
+"""Implements the read-only commands ``status``, ``explain`` and ``usage``."""
 
 import asyncio
 from typing import Any
@@ -8,16 +8,16 @@
 from buckthornstile.clock import read_boottime
 from buckthornstile.commands._clients import fetch_json, make_store_client
 from buckthornstile.commands._context import (
+    CommandContext,
     CommandExit,
-    Context,
     make_context,
     parse_flag,
 )
 from buckthornstile.commands._event_search import (
     find_related_events,
-    get_time,
+    format_event,
+    get_event_time,
     read_events,
-    render_line,
 )
 from buckthornstile.commands._exit_codes import ExitCode
 from buckthornstile.duties import (
@@ -28,18 +28,18 @@
 )
 from buckthornstile.platform import OffsetOutOfRangeError, StoreClient
 
-FETCH_TIMEOUT = 5.0
-"""Time to wait for an entry's answer, in seconds."""
+QUERY_TIMEOUT_S = 5.0
+"""Timeout of a request to an entry, in seconds."""
 
 
 def show_status(*, json: object = False, **flags: object) -> None:
-    """Shows what each entry given in ``--entries`` knows of the deployment.
+    """Shows the status that each entry given in ``--entries`` reports.
 
     Args:
         json: Print one JSON object.
         **flags: Settings: entries.
     """
-    _show_answers(make_context(flags, json), "/v1/status")
+    _show_responses(make_context(flags, json), "/v1/status")
 
 
 def explain(
@@ -50,32 +50,37 @@
     json: object = False,
     **flags: object,
 ) -> None:
-    """Shows what was decided on a request, job, item, upstream or lot, and why.
+    """Shows the events of a request, job, item, upstream or lot.
 
-    Reads event lines from files, or asks each entry given in ``--entries`` for its
-    newest ones.
+    Reads event lines from log files, or fetches the latest ones from each entry given
+    in ``--entries``.
 
     Args:
-        subject: An id, or an event's first words, such as ``lease``; all if left out.
-        logs: Files of event lines, separated by commas; ``-`` is standard input.
-        context: Also show what each process that handled it came to believe
-            from 10 s before its first line on (store, lease, configuration).
+        subject: An id or, without ``--logs``, the start of an event's name, such as
+            ``lease``; all events if left out.
+        logs: Paths of log files with event lines, separated by commas; ``-`` is
+            standard input.
+        context: Also show other events (store, lease, configuration) of each process
+            that handled the subject, from 10 s before its first event there to its
+            last. Only with ``--logs``.
         json: Print one JSON object.
         **flags: Settings: entries.
     """
-    command = make_context(flags, json)
+    command_context = make_context(flags, json)
     if logs:
         lines = list(read_events(str(logs).split(",")))
-        _show_lines(command, lines, subject, parse_flag("context", context), {})
+        _show_events(
+            command_context, lines, subject, parse_flag("context", context), {}
+        )
         return
     query = f"?subject={quote(subject)}" if subject else ""
-    answers, errors = _ask_entries(command, f"/v1/explain{query}")
-    lines = [line for answer in answers.values() for line in answer["lines"]]
-    _show_lines(command, lines, "", False, errors)
+    responses, errors = _query_entries(command_context, f"/v1/explain{query}")
+    lines = [line for response in responses.values() for line in response["lines"]]
+    _show_events(command_context, lines, "", False, errors)
 
 
 def show_usage(*, json: object = False, **flags: object) -> None:
-    """Shows the usage windows that the store still holds, and which are reported.
+    """Shows the usage windows in the store and whether each is reported.
 
     Args:
         json: Print one JSON object.
@@ -93,74 +98,78 @@
     ]
     lines: list[str] = []
     for window in windows:
-        state = "reported" if window["reported"] else "not reported yet"
+        state = "reported" if window["reported"] else "not yet reported"
         lines.append(f"window {window['window']}: {state}")
         counts = window["counts"]
         assert isinstance(counts, dict)
         lines += [f"  {account}: {count}" for account, count in sorted(counts.items())]
-    context.show({"windows": windows}, lines or ["the store holds no sealed window"])
+    context.print_result(
+        {"windows": windows}, lines or ["the store holds no sealed windows"]
+    )
 
 
 async def _read_seals(store: StoreClient) -> dict[int, SealRecord]:
-    fold = DutyState(read_boottime)
-    position = 0
+    state = DutyState(read_boottime)
+    next_offset = 0
     while True:
         try:
-            data = await store.read(DUTY_TOPIC, 0, position)
+            data = await store.read(DUTY_TOPIC, 0, next_offset)
         except OffsetOutOfRangeError as error:
-            position = error.first_offset
+            next_offset = error.first_offset
             continue
         for offset, record in data.records:
-            fold.apply(offset, decode_duty_record(record))
-        position = data.next_offset
-        if position >= data.end_offset:
-            return fold.seals
+            state.apply(offset, decode_duty_record(record))
+        next_offset = data.next_offset
+        if next_offset >= data.end_offset:
+            return state.seals
 
 
-def _show_lines(
-    context: Context,
+def _show_events(
+    context: CommandContext,
     lines: list[dict[str, Any]],
     subject: str,
     with_context: bool,
     errors: dict[str, str],
 ) -> None:
-    """Shows event lines in order of time."""
-    ordered = sorted(lines, key=get_time)
-    chosen = ordered
+    """Shows events in order of time."""
+    sorted_lines = sorted(lines, key=get_event_time)
+    selected = sorted_lines
     if subject:
-        chosen = find_related_events(ordered, subject, with_context=with_context)
-    if not chosen and not errors:
+        selected = find_related_events(sorted_lines, subject, with_context=with_context)
+    if not selected and not errors:
         raise BuckthornstileError(
-            ErrorCode.SETTING_INVALID, f"no event line names {subject!r}"
+            ErrorCode.SETTING_INVALID, f"no event matches {subject!r}"
         )
-    start = get_time(chosen[0]) if chosen else 0.0
-    shown = [render_line(line, start) for line in chosen]
-    shown += [f"{url} gave no answer: {reason}" for url, reason in errors.items()]
-    context.show({"events": chosen, "errors": errors}, shown)
+    start_time = get_event_time(selected[0]) if selected else 0.0
+    shown = [format_event(line, start_time) for line in selected]
+    shown += [f"request to {url} failed: {reason}" for url, reason in errors.items()]
+    context.print_result({"events": selected, "errors": errors}, shown)
     if errors:
         raise CommandExit(ExitCode.PLATFORM_UNAVAILABLE)
 
 
-def _ask_entries(context: Context, path: str) -> tuple[dict[str, Any], dict[str, str]]:
+def _query_entries(
+    context: CommandContext, path: str
+) -> tuple[dict[str, Any], dict[str, str]]:
     entries = context.settings.list_entries()
     if not entries:
         raise BuckthornstileError(
             ErrorCode.SETTING_INVALID,
-            "entries is not set; give --entries or BUCKTHORNSTILE_ENTRIES",
+            "entries is not set; set --entries or BUCKTHORNSTILE_ENTRIES",
         )
     return asyncio.run(_fetch_all(entries, path))
 
 
-def _show_answers(context: Context, path: str) -> None:
-    answers, errors = _ask_entries(context, path)
+def _show_responses(context: CommandContext, path: str) -> None:
+    responses, errors = _query_entries(context, path)
     lines: list[str] = []
     for url in context.settings.list_entries():
         lines.append(url)
         if url in errors:
-            lines.append(f"  no answer: {errors[url]}")
+            lines.append(f"  request failed: {errors[url]}")
         else:
-            lines += _render(answers[url], depth=1)
-    context.show({"entries": answers, "errors": errors}, lines)
+            lines += _format_value(responses[url], depth=1)
+    context.print_result({"entries": responses, "errors": errors}, lines)
     if errors:
         raise CommandExit(ExitCode.PLATFORM_UNAVAILABLE)
 
@@ -168,44 +177,44 @@
 async def _fetch_all(
     entries: tuple[str, ...], path: str
 ) -> tuple[dict[str, Any], dict[str, str]]:
-    found = await asyncio.gather(
-        *(fetch_json(url + path, FETCH_TIMEOUT) for url in entries),
+    results = await asyncio.gather(
+        *(fetch_json(url + path, QUERY_TIMEOUT_S) for url in entries),
         return_exceptions=True,
     )
-    answers: dict[str, Any] = {}
+    responses: dict[str, Any] = {}
     errors: dict[str, str] = {}
-    for url, answer in zip(entries, found, strict=True):
-        if isinstance(answer, BuckthornstileError):
-            errors[url] = answer.message
-        elif isinstance(answer, BaseException):
-            raise answer
+    for url, response in zip(entries, results, strict=True):
+        if isinstance(response, BuckthornstileError):
+            errors[url] = response.message
+        elif isinstance(response, BaseException):
+            raise response
         else:
-            answers[url] = answer
-    return answers, errors
+            responses[url] = response
+    return responses, errors
 
 
-def _render(value: object, *, depth: int) -> list[str]:
-    margin = "  " * depth
+def _format_value(value: object, *, depth: int) -> list[str]:
+    indent = "  " * depth
     if isinstance(value, dict):
         lines = []
         for name, inner in value.items():
             if isinstance(inner, dict | list) and inner:
-                lines += [f"{margin}{name}:", *_render(inner, depth=depth + 1)]
+                lines += [f"{indent}{name}:", *_format_value(inner, depth=depth + 1)]
             else:
-                lines.append(f"{margin}{name}: {_render_plain(inner)}")
+                lines.append(f"{indent}{name}: {_format_scalar(inner)}")
         return lines
     if isinstance(value, list):
-        return [f"{margin}- {_render_row(row)}" for row in value]
-    return [f"{margin}{_render_plain(value)}"]
+        return [f"{indent}- {_format_list_item(item)}" for item in value]
+    return [f"{indent}{_format_scalar(value)}"]
 
 
-def _render_row(row: object) -> str:
-    return _describe_fields(row) if isinstance(row, dict) else _render_plain(row)
+def _format_list_item(item: object) -> str:
+    return _describe_fields(item) if isinstance(item, dict) else _format_scalar(item)
 
 
 def _describe_fields(fields: dict[str, Any]) -> str:
-    return " ".join(f"{name}={_render_plain(value)}" for name, value in fields.items())
+    return " ".join(f"{name}={_format_scalar(value)}" for name, value in fields.items())
 
 
-def _render_plain(value: object) -> str:
+def _format_scalar(value: object) -> str:
     return "none" if value in (None, [], {}) else str(value)
--- a/buckthornstile/commands/_submit.py
+++ b/buckthornstile/commands/_submit.py
@@ -1,4 +1,4 @@
-"""Appends a change and answers only after reading back what became of it."""
+"""Submits configuration changes and reads their results back from the store."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -26,21 +26,23 @@
 )
 
 MAX_ATTEMPTS = 5
-PAUSE = 0.2
-"""Time between two attempts, in seconds."""
+RETRY_DELAY_S = 0.2
+"""Delay before the first retry, in seconds; it grows linearly with each retry."""
 
-MakeChange = Callable[[Configuration], ConfigurationChange | None]
+ChangeFactory = Callable[[Configuration], ConfigurationChange | None]
 Sleep = Callable[[float], Awaitable[None]]
 
 
 @dataclass(frozen=True, slots=True)
 class SubmitResult:
-    """What became of a change.
+    """The result of a submitted change.
 
     Args:
-        revision: The revision that it made, or that already held it.
-        offset: The offset from which on it is in force.
-        changed: Whether this command made it.
+        revision: Revision that the change created, or the current revision if no
+            change was needed.
+        offset: Offset in the configuration topic up to which a process must have read
+            for the change to be in effect.
+        changed: Whether this command changed the configuration.
     """
 
     revision: Revision
@@ -49,11 +51,11 @@
 
 
 class ConfigurationClient:
-    """Reads the configuration as the store holds it.
+    """Reads the configuration from the store and appends changes to it.
 
     Args:
-        store: The store.
-        timeout: Seconds for one call.
+        store: Client of the store.
+        timeout: Timeout of one call to the store, in seconds.
     """
 
     def __init__(self, store: StoreClient, *, timeout: float = 2.0) -> None:
@@ -63,37 +65,39 @@
         self.end_offset = 0
 
     async def read(self) -> Configuration:
-        """Reads the newest configuration.
+        """Reads the latest configuration.
 
         Raises:
-            PlatformUnavailableError: The store did not answer.
+            PlatformUnavailableError: The store did not respond.
             BuckthornstileError: ``CONFIGURATION_INVALID``: a record is malformed.
         """
         while True:
             records, self.end_offset = await self.store.read_latest(
                 CONFIGURATION_TOPIC, 0, timeout=self.timeout
             )
-            fold = ConfigurationState()
+            state = ConfigurationState()
             try:
-                for record in sorted(records, key=lambda one: one.offset):
-                    fold.apply(Offset(record.offset), record.key, record.value)
+                for record in sorted(records, key=lambda record: record.offset):
+                    state.apply(Offset(record.offset), record.key, record.value)
             except ValueError as error:
                 raise BuckthornstileError(
                     ErrorCode.CONFIGURATION_INVALID,
-                    f"the store holds a malformed record: {error}",
+                    f"the store holds a malformed configuration record: {error}",
                 ) from None
-            # Pages are no snapshot: a change between them shows as a later record.
+            # The pages are not one snapshot: a change appended between two pages shows
+            # up as a record past the end offset, and everything is read again.
             if all(record.offset < self.end_offset for record in records):
-                fold.commit()
-                self.state = fold
-                return fold.current
+                state.commit()
+                self.state = state
+                return state.current
 
     async def append(self, change: ConfigurationChange) -> None:
-        """Appends a change, if the store stands as it was read.
+        """Appends a change if the store is unchanged since the last read.
 
         Raises:
-            AppendConflictError: It does not.
-            PlatformUnavailableError: The outcome is not known, or it was refused.
+            AppendConflictError: Another record was appended since the last read.
+            PlatformUnavailableError: The store rejected the change, or its outcome is
+                unknown.
         """
         records = [
             encode_keyed_record(record.key, record.value)
@@ -105,38 +109,39 @@
 
 
 async def submit_change(
-    reader: ConfigurationClient,
-    make_change: MakeChange,
+    client: ConfigurationClient,
+    make_change: ChangeFactory,
     *,
     sleep: Sleep = asyncio.sleep,
 ) -> SubmitResult:
-    """Submits a change until the store shows that it was accepted or refused.
+    """Submits a change, with retries, until the store shows its result.
 
-    Every attempt carries the same change id, so an append that timed out and took
-    effect later is found by the next reading.
+    All attempts have the same change id. If an append timed out but took effect
+    later, the next read finds the change by this id, and it is not appended again.
 
     Args:
-        reader: Reads the store and appends to it.
-        make_change: Works out the change for a configuration; gives None if it is
-            in force already, and raises ``CONFIGURATION_CONFLICT`` if another
-            operator's change has altered what it would do.
-        sleep: Waits that many seconds.
+        client: Reads the configuration and appends the change.
+        make_change: Returns the change for a configuration, or None if no change is
+            needed. Raises ``CONFIGURATION_CONFLICT`` if another operator's change
+            altered the effect of this one.
+        sleep: Waits for the given number of seconds.
 
     Returns:
-        What became of it.
+        The result of the change.
 
     Raises:
-        BuckthornstileError: It conflicts or is invalid.
-        PlatformUnavailableError: The store did not answer; the change may have
-            taken effect if ``may_have_taken_effect`` says so.
+        BuckthornstileError: The change conflicts with another one or is invalid.
+        PlatformUnavailableError: The store did not respond; the attribute
+            ``may_have_taken_effect`` shows whether the change may have taken
+            effect.
     """
-    attempt = _Attempt(reader, make_change)
+    submission = _Submission(client, make_change)
     last_error: PlatformUnavailableError | None = None
-    for number in range(MAX_ATTEMPTS):
-        if number:
-            await sleep(PAUSE * number)
+    for attempt in range(MAX_ATTEMPTS):
+        if attempt:
+            await sleep(RETRY_DELAY_S * attempt)
         try:
-            result = await attempt.run()
+            result = await submission.run()
         except PlatformUnavailableError as error:
             last_error = error
             continue
@@ -145,50 +150,52 @@
     if last_error is None:
         raise BuckthornstileError(
             ErrorCode.CONFIGURATION_CONFLICT,
-            f"other operators were first {MAX_ATTEMPTS} times; run the command again",
+            f"other operators' changes were accepted first in {MAX_ATTEMPTS} attempts; "
+            "run the command again",
         )
-    suffix = "; the change may have taken effect" if attempt.may_have_run else ""
+    suffix = "; the change may have taken effect" if submission.may_have_run else ""
     raise PlatformUnavailableError(
-        f"{last_error.message}{suffix}", may_have_taken_effect=attempt.may_have_run
+        f"{last_error.message}{suffix}", may_have_taken_effect=submission.may_have_run
     )
 
 
-class _Attempt:
-    """One change over all its attempts."""
+class _Submission:
+    """A change that is submitted, with the state that its attempts share."""
 
-    def __init__(self, reader: ConfigurationClient, make_change: MakeChange) -> None:
-        self.reader = reader
+    def __init__(self, client: ConfigurationClient, make_change: ChangeFactory) -> None:
+        self.client = client
         self.make_change = make_change
         self.may_have_run = False
-        self._made: ConfigurationChange | None = None
+        self._submitted: ConfigurationChange | None = None
 
     async def run(self) -> SubmitResult | None:
-        """Gives what became of the change, or None if another was first."""
-        current = await self.reader.read()
+        """Makes one attempt; returns None if another change was appended first."""
+        current = await self.client.read()
         found = self._find_result()
         if found is not None:
             return found
         change = self.make_change(current)
         if change is None:
             return SubmitResult(current.revision, current.last_offset, False)
-        # The store must not hold what no reader could put in force.
+        # Raises an error if the change is invalid: an invalid change must not get into
+        # the store, since no process could apply it.
         apply_change(current, change, offset=0)
-        self._made = change
+        self._submitted = change
         try:
-            await self.reader.append(change)
+            await self.client.append(change)
             self.may_have_run = True
         except AppendConflictError:
             return None
         except PlatformUnavailableError as error:
             self.may_have_run |= error.may_have_taken_effect
             raise
-        await self.reader.read()
+        await self.client.read()
         return self._find_result()
 
     def _find_result(self) -> SubmitResult | None:
-        if self._made is None:
+        if self._submitted is None:
             return None
-        revision = self.reader.state.find_revision(self._made.change_id)
+        revision = self.client.state.find_revision(self._submitted.change_id)
         if revision is None:
             return None
-        return SubmitResult(revision, self.reader.state.current.last_offset, True)
+        return SubmitResult(revision, self.client.state.current.last_offset, True)
--- a/buckthornstile/commands/tests/change.feature
+++ b/buckthornstile/commands/tests/change.feature
@@ -1,31 +1,31 @@
-Feature: A change is answered "accepted" only once the store shows it
+Feature: A command reports a change as accepted only after reading it back from the store
 
-  Scenario Outline: The platform's answer does not tell what became of the change
+  Scenario Outline: A change is applied at most once when the store fails or another operator is first
     Given failure domain "bench-a" is in service
     And the store <fault>
     When an operator drains failure domain "bench-a"
-    Then the command ends with <exit code>
-    And the drain was accepted <times> times
+    Then the command exits with <exit code>
+    And the store holds <times> accepted drains
 
     Examples:
-      | fault                                              | exit code            | times |
-      | works                                              | OK                   | 1     |
-      | loses one answer after taking the record           | OK                   | 1     |
-      | loses one answer before taking the record          | OK                   | 1     |
-      | takes a record late, after its answer was lost     | OK                   | 1     |
-      | refuses one append                                 | OK                   | 1     |
-      | is out                                             | PLATFORM_UNAVAILABLE | 0     |
-      | is out for reading after the append                | PLATFORM_UNAVAILABLE | 1     |
-      | takes another operator's change first              | OK                   | 1     |
-      | takes another operator's change first, always      | CONFLICT             | 0     |
-      | takes another operator's drain first               | OK                   | 1     |
-      | has dropped its history                            | OK                   | 1     |
-      | holds a malformed record                           | BAD_INPUT            | 0     |
+      | fault                                                    | exit code            | times |
+      | works                                                    | OK                   | 1     |
+      | loses one response after appending the record            | OK                   | 1     |
+      | loses one request before appending the record            | OK                   | 1     |
+      | appends a record late, after the request timed out       | OK                   | 1     |
+      | rejects one append                                       | OK                   | 1     |
+      | is unavailable                                           | PLATFORM_UNAVAILABLE | 0     |
+      | becomes unavailable for reads after the append           | PLATFORM_UNAVAILABLE | 1     |
+      | appends another operator's change first                  | OK                   | 1     |
+      | appends another operator's change first on every attempt | CONFLICT             | 0     |
+      | appends another operator's drain first                   | OK                   | 1     |
+      | has dropped its history                                  | OK                   | 1     |
+      | holds a malformed record                                 | BAD_INPUT            | 0     |
 
-  Scenario Outline: Operators race with a sheet
+  Scenario Outline: An operator applies a sheet while another operator makes a change
     Given the example sheet was applied
-    When an operator applies a changed sheet while another <change>
-    Then the command ends with <exit code>
+    When an operator applies a changed sheet while another operator <change>
+    Then the command exits with <exit code>
 
     Examples:
       | change                             | exit code |
--- a/buckthornstile/commands/tests/test_event_search.py
+++ b/buckthornstile/commands/tests/test_event_search.py
@@ -1,4 +1,4 @@
-"""From an id to its cause, for the three kinds of failed request."""
+"""Tests that ``explain`` finds the cause of a failed call, item or refused request."""
 
 import json
 
@@ -6,7 +6,7 @@
 
 from buckthornstile.commands import main
 
-LINES = [
+EVENTS = [
     {"time": "10.0", "process": "e1", "event": "store.lost", "topic": "keyed.op"},
     {
         "time": "11.0",
@@ -56,11 +56,13 @@
 
 @pytest.fixture
 def logs(tmp_path):
-    """Two processes' logs, one with a prefix and a torn line."""
+    """Writes the logs of two processes, with prefixes and truncated lines."""
     first, second = tmp_path / "e1.log", tmp_path / "e2.log"
     for path, process in ((first, "e1"), (second, "e2")):
-        own = [line for line in LINES if line["process"] == process]
-        text = "".join(f"  1.5 {process} {json.dumps(line)}\n" for line in own)
+        process_lines = [line for line in EVENTS if line["process"] == process]
+        text = "".join(
+            f"  1.5 {process} {json.dumps(line)}\n" for line in process_lines
+        )
         path.write_text('{"torn\nno event\n' + text)
     return f"--logs={first},{second}"
 
@@ -70,26 +72,26 @@
     return [line["event"] for line in data["events"]]
 
 
-def test_failed_call_leads_to_its_upstream(logs, capsys) -> None:
+def test_explain_finds_failed_call_of_request(logs, capsys) -> None:
     assert main(["explain", "r1", logs, "--json"]) == 0
     assert list_events(capsys) == ["call.attempt_failed", "request.refused"]
 
 
-def test_item_leads_to_its_runs_and_to_what_its_process_believed(logs, capsys) -> None:
+def test_explain_finds_runs_of_item_and_context_of_job(logs, capsys) -> None:
     assert main(["explain", "i1", logs, "--json"]) == 0
     assert list_events(capsys) == ["item.run_ended", "job.results_stored"]
     assert main(["explain", "j1", logs, "--json", "--context"]) == 0
     assert "store.lost" in list_events(capsys)
 
 
-def test_refusal_leads_to_the_age_of_the_configuration(logs, capsys) -> None:
+def test_explain_shows_age_of_configuration_of_refused_request(logs, capsys) -> None:
     assert main(["explain", "r2", logs]) == 0
     shown = capsys.readouterr().out
     assert "store_age=4.9" in shown
     assert "error=process.configuration_old" in shown
 
 
-def test_unknown_id_and_unreadable_log_are_errors(logs, capsys) -> None:
+def test_unknown_id_and_unreadable_log_are_rejected(logs, capsys) -> None:
     assert main(["explain", "nothing", logs]) != 0
     assert "'nothing'" in capsys.readouterr().err
     assert main(["explain", "r1", "--logs=/no/such/file"]) != 0
--- a/buckthornstile/sheet/_errors.py
+++ b/buckthornstile/sheet/_errors.py
@@ -36,7 +36,8 @@
             whole sheet.
         column: Name of the column; empty if the problem concerns no single column.
         code: Code of the problem.
-        message: Description for people, which follows the name of the place.
+        message: Description for people; :meth:`__str__` prints it after the row and
+            the column.
 
     Example:
         >>> print(SheetProblem(2, "kind", SheetErrorCode.KIND_UNKNOWN, "is 'x'"))
--- a/buckthornstile/sheet/_plan.py
+++ b/buckthornstile/sheet/_plan.py
@@ -25,7 +25,7 @@
 """Largest fraction of the items that a sheet may remove without an explicit flag."""
 
 MAX_UNCHECKED_REMOVALS = 1
-"""Number of items that a sheet may remove whatever fraction they are."""
+"""Number of items that a sheet may always remove, whatever their fraction."""
 
 MANAGED_KINDS = ("account", "open_route", "rule")
 """Kinds whose items are removed if the sheet does not list them.
