--- a/buckthornstile/client/__init__.py
+++ b/buckthornstile/client/__init__.py
@@ -1,4 +1,4 @@
-"""The library for callers and trainers."""
+"""Client library for callers and trainers."""
 
 from buckthornstile.client._caller import Answer, CallerClient
 from buckthornstile.client._errors import get_worst_verdict, parse_error
--- a/buckthornstile/client/_caller.py
+++ b/buckthornstile/client/_caller.py
@@ -1,4 +1,4 @@
-"""The callers' client: one idempotency key, several attempts, one deadline."""
+"""Client for callers, which retries a call with one idempotency key."""
 
 import asyncio
 import random
@@ -17,27 +17,27 @@
     IdempotencyKey,
     Verdict,
 )
-from buckthornstile.client._errors import make_truncated, parse_error
+from buckthornstile.client._errors import make_truncated_error, parse_error
 from buckthornstile.client._event_stream import EventStreamParser
 from buckthornstile.client._exchange import Exchange, HttpRequest, open_exchange
 from buckthornstile.client._retry import Attempt, RetryPolicy, RetryState
 
-MAX_WHOLE_BYTES = 64 << 20
+MAX_BUFFERED_RESPONSE_BYTES = 64 << 20
 GENERATED_KEY_PREFIX = "auto-"
-"""Begins the keys of calls that no other process will send again."""
+"""Prefix of generated idempotency keys, which no other process sends again."""
 _ERROR_STATUS = 400
 _Result = TypeVar("_Result")
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer.
+    """A complete response.
 
     Args:
-        status: The HTTP status, as the upstream gave it.
-        content_type: The body's media type.
-        body: The body.
-        attempts: How many attempts it took.
+        status: HTTP status that the upstream returned.
+        content_type: Media type of the body.
+        body: Response body.
+        attempts: Number of attempts made, including the successful one.
     """
 
     status: int
@@ -59,10 +59,10 @@
     """Calls services through any of several entries.
 
     Args:
-        entries: The entries' or the balancer's URLs, with IP numbers.
-        key: The client account's key.
-        policy: How often a call is tried again.
-        generator: The source of jitter.
+        entries: URLs of the entries or of their load balancer, with IP addresses.
+        key: API key of the client account.
+        policy: Number of attempts and delays between them.
+        generator: Source of the jitter.
         ssl_options: TLS options for ``https`` URLs.
 
     Example:
@@ -99,33 +99,34 @@
         idempotent: bool = False,
         timeout: float = 60.0,
     ) -> Answer:
-        """Makes a call and returns its whole answer.
+        """Sends a call and returns its complete response.
 
         Args:
-            path: The path, from its first slash.
-            body: The body.
-            method: The HTTP method.
-            content_type: The body's media type.
-            idempotency_key: The call's name; pass the same one to go on with a
-                call of an earlier process. A fresh one by default.
-            idempotent: Whether it may run more than once.
+            path: Path, with its leading slash.
+            body: Request body.
+            method: HTTP method.
+            content_type: Media type of the body.
+            idempotency_key: Idempotency key of the call; the same key resumes a
+                call of an earlier process. By default a key is generated.
+            idempotent: Whether the call is safe to run more than once.
             timeout: Seconds for all attempts together.
 
         Returns:
-            The answer, whatever its status, if it is the upstream's own.
+            The response of the upstream, with any status.
 
         Raises:
-            BuckthornstileError: With a code, and a verdict over all attempts.
+            BuckthornstileError: With the code of the last attempt and the most severe
+                verdict of all attempts.
         """
-        key = _choose_key(idempotency_key)
+        key = _get_idempotency_key(idempotency_key)
         call = _Call(method, path, body, content_type, key)
-        attempts = self._make_attempts(idempotent, timeout)
+        retry_state = self._make_retry_state(idempotent, timeout)
         while True:
-            attempt = attempts.begin(time.monotonic())
+            attempt = retry_state.start_attempt(time.monotonic())
             try:
-                return await self._try_whole(call, attempt)
+                return await self._try_call(call, attempt)
             except BuckthornstileError as error:
-                await _wait_or_give_up(attempts, error)
+                await _wait_before_retry(retry_state, error)
 
     async def stream(
         self,
@@ -137,39 +138,39 @@
         idempotent: bool = False,
         timeout: float = 600.0,
     ) -> AsyncIterator[bytes]:
-        """Makes a call and yields the data of its events.
+        """Sends a call and yields the data of its events.
 
-        A call is tried again only until its first event has come.
+        A call is retried only as long as no event has arrived.
 
         Args:
-            path: The path, from its first slash.
-            body: The body, which asks for a stream.
-            content_type: The body's media type.
-            idempotency_key: The call's name; a fresh one by default.
-            idempotent: Whether it may run more than once.
+            path: Path, with its leading slash.
+            body: Request body, which must request a stream.
+            content_type: Media type of the body.
+            idempotency_key: Idempotency key of the call; generated by default.
+            idempotent: Whether the call is safe to run more than once.
             timeout: Seconds for all attempts and the whole stream.
 
         Raises:
-            BuckthornstileError: Also when the stream ends without its end
-                event, after the events that came.
+            BuckthornstileError: When the call fails, or when the stream ends
+                without its end event; events that arrived are yielded first.
         """
-        key = _choose_key(idempotency_key)
+        key = _get_idempotency_key(idempotency_key)
         call = _Call("POST", path, body, content_type, key)
-        attempts = self._make_attempts(idempotent, timeout)
-        begun = False
+        retry_state = self._make_retry_state(idempotent, timeout)
+        has_yielded = False
         while True:
-            attempt = attempts.begin(time.monotonic())
+            attempt = retry_state.start_attempt(time.monotonic())
             try:
                 async for payload in self._try_stream(call, attempt):
-                    begun = True
+                    has_yielded = True
                     yield payload
                 return
             except BuckthornstileError as error:
-                if begun:
-                    raise attempts.give_up(error) from error
-                await _wait_or_give_up(attempts, error)
+                if has_yielded:
+                    raise retry_state.make_final_error(error) from error
+                await _wait_before_retry(retry_state, error)
 
-    def _make_attempts(self, idempotent: bool, timeout: float) -> RetryState:
+    def _make_retry_state(self, idempotent: bool, timeout: float) -> RetryState:
         return RetryState(
             len(self.entries),
             idempotent=idempotent,
@@ -178,15 +179,15 @@
             policy=self.policy,
         )
 
-    async def _try_whole(self, call: _Call, attempt: Attempt) -> Answer:
+    async def _try_call(self, call: _Call, attempt: Attempt) -> Answer:
         deadline = time.monotonic() + attempt.timeout
         exchange = await self._open(call, attempt)
         try:
             async with asyncio.timeout(deadline - time.monotonic()):
-                status, headers = await exchange.read_head()
-                body = await _read_whole(exchange, headers)
+                status, headers = await exchange.read_headers()
+                body = await _read_body(exchange, headers)
         except TimeoutError as error:
-            raise _make_late() from error
+            raise _make_deadline_error() from error
         finally:
             exchange.close()
         _raise_for_error(status, body)
@@ -196,18 +197,20 @@
     async def _try_stream(self, call: _Call, attempt: Attempt) -> AsyncIterator[bytes]:
         deadline = time.monotonic() + attempt.timeout
         exchange = await self._open(call, attempt)
-        reader = EventStreamParser()
-        chunks = exchange.iterate()
+        parser = EventStreamParser()
+        chunks = exchange.iterate_chunks()
         try:
-            status, headers = await _wait_until(deadline, exchange.read_head())
+            status, headers = await _wait_until(deadline, exchange.read_headers())
             if status >= _ERROR_STATUS:
-                body = await _wait_until(deadline, _read_whole(exchange, headers))
+                body = await _wait_until(deadline, _read_body(exchange, headers))
                 _raise_for_error(status, body)
-                raise make_truncated(f"the upstream answered {status}, not a stream")
+                raise make_truncated_error(
+                    f"the upstream returned status {status} instead of a stream"
+                )
             while (chunk := await _wait_until(deadline, anext(chunks, b""))) != b"":
-                for payload in reader.feed(chunk):
+                for payload in parser.feed(chunk):
                     yield payload
-            reader.finish()
+            parser.finish()
         finally:
             exchange.close()
 
@@ -217,40 +220,42 @@
             "Content-Type": call.content_type,
             "Idempotency-Key": call.idempotency_key,
             "X-Attempt": str(attempt.number),
-            "X-First-Attempt-Age": f"{attempt.age:.3f}",
+            "X-First-Attempt-Age": f"{attempt.first_attempt_age:.3f}",
             "X-Timeout": f"{attempt.timeout:.3f}",
         }
-        url = self.entries[attempt.entry]
+        url = self.entries[attempt.entry_index]
         request = HttpRequest(url, call.method, call.path, headers, call.body)
         return await open_exchange(request, ssl_options=self.ssl_options)
 
 
-def _choose_key(given: str | None) -> IdempotencyKey:
+def _get_idempotency_key(given: str | None) -> IdempotencyKey:
     return IdempotencyKey(given or f"{GENERATED_KEY_PREFIX}{uuid.uuid4().hex}")
 
 
-async def _wait_or_give_up(attempts: RetryState, error: BuckthornstileError) -> None:
-    delay = attempts.get_delay(error, time.monotonic())
+async def _wait_before_retry(
+    retry_state: RetryState, error: BuckthornstileError
+) -> None:
+    delay = retry_state.get_retry_delay(error, time.monotonic())
     if delay is None:
-        raise attempts.give_up(error) from error
+        raise retry_state.make_final_error(error) from error
     await asyncio.sleep(delay)
 
 
-async def _read_whole(exchange: Exchange, headers: HTTPHeaders) -> bytes:
-    parts = []
+async def _read_body(exchange: Exchange, headers: HTTPHeaders) -> bytes:
+    chunks = []
     length = 0
-    async for chunk in exchange.iterate():
-        parts.append(chunk)
+    async for chunk in exchange.iterate_chunks():
+        chunks.append(chunk)
         length += len(chunk)
-        if length > MAX_WHOLE_BYTES:
-            raise make_truncated("the answer is too large to be taken whole")
+        if length > MAX_BUFFERED_RESPONSE_BYTES:
+            raise make_truncated_error("the response is too large to be buffered")
     declared = headers.get("Content-Length")
     if declared is not None and declared != str(length):
-        raise make_truncated(f"{length} bytes came of {declared}")
+        raise make_truncated_error(f"{length} of {declared} bytes arrived")
     chunked = headers.get("Transfer-Encoding", "").lower() == "chunked"
     if declared is None and not chunked:
-        raise make_truncated("the answer declares no length")
-    return b"".join(parts)
+        raise make_truncated_error("the response declares no length")
+    return b"".join(chunks)
 
 
 async def _wait_until(deadline: float, awaitable: Awaitable[_Result]) -> _Result:
@@ -258,7 +263,7 @@
         async with asyncio.timeout(max(0.0, deadline - time.monotonic())):
             return await awaitable
     except TimeoutError as error:
-        raise _make_late() from error
+        raise _make_deadline_error() from error
 
 
 def _raise_for_error(status: int, body: bytes) -> None:
@@ -268,9 +273,9 @@
             raise error
 
 
-def _make_late() -> BuckthornstileError:
+def _make_deadline_error() -> BuckthornstileError:
     return BuckthornstileError(
         ErrorCode.DEADLINE_PASSED,
-        "no whole answer came within the timeout",
+        "no complete response arrived within the timeout",
         verdict=Verdict.MAY_HAVE_RUN,
     )
--- a/buckthornstile/client/_errors.py
+++ b/buckthornstile/client/_errors.py
@@ -1,4 +1,4 @@
-"""Reads the errors that entries answer with."""
+"""Parses the error responses of entries and creates the client's own errors."""
 
 import json
 
@@ -6,19 +6,19 @@
 
 _CODES = {code.value: code for code in ErrorCode}
 _VERDICTS = {verdict.value: verdict for verdict in Verdict}
-_SEVERITY = (Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN, Verdict.RAN)
+_VERDICTS_BY_SEVERITY = (Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN, Verdict.RAN)
 
 
 def parse_error(body: bytes | str) -> BuckthornstileError | None:
-    """Reads an entry's error body.
+    """Parses the body of an entry's error response.
 
     Args:
         body: ``{"error": {"code", "message", "verdict", "retry_after"}}``.
 
     Returns:
-        The error, or None if the body is something else, such as the answer of
+        The error, or None if the body has another form, such as a response of
         an upstream. A code that this library does not know becomes
-        ``INTERNAL``; its verdict counts all the same.
+        ``INTERNAL``; the verdict of such an error is kept.
 
     Example:
         >>> parse_error('{"error": {"code": "x", "verdict": "not_run"}}').verdict
@@ -37,37 +37,37 @@
     if verdict is None:
         return None
     retry_after = error.get("retry_after")
-    has_hint = isinstance(retry_after, int | float) and retry_after > 0
+    has_retry_after = isinstance(retry_after, int | float) and retry_after > 0
     return BuckthornstileError(
         _CODES.get(str(error.get("code")), ErrorCode.INTERNAL),
         str(error.get("message", "")),
         verdict=verdict,
-        retry_after=float(retry_after) if has_hint else None,  # type: ignore[arg-type]
+        retry_after=float(retry_after) if has_retry_after else None,  # type: ignore[arg-type]
     )
 
 
 def get_worst_verdict(first: Verdict, second: Verdict) -> Verdict:
-    """Gives the verdict over two attempts of one call.
+    """Returns the more severe verdict of two attempts of one call.
 
     Args:
-        first: One attempt's verdict.
-        second: The other's.
+        first: Verdict of one attempt.
+        second: Verdict of the other attempt.
 
     Example:
         >>> get_worst_verdict(Verdict.MAY_HAVE_RUN, Verdict.NOT_RUN).value
         'may_have_run'
     """
-    return max(first, second, key=_SEVERITY.index)
+    return max(first, second, key=_VERDICTS_BY_SEVERITY.index)
 
 
-def make_lost(message: str) -> BuckthornstileError:
-    """Makes the error for a connection that broke after something was sent.
+def make_connection_lost_error(message: str) -> BuckthornstileError:
+    """Creates the error for a connection lost after the client began to send.
 
     Args:
-        message: What happened.
+        message: Text of the error.
 
     Example:
-        >>> make_lost("closed").verdict.value
+        >>> make_connection_lost_error("closed").verdict.value
         'may_have_run'
     """
     return BuckthornstileError(
@@ -75,14 +75,14 @@
     )
 
 
-def make_truncated(message: str) -> BuckthornstileError:
-    """Makes the error for an answer that is not whole.
+def make_truncated_error(message: str) -> BuckthornstileError:
+    """Creates the error for an incomplete response.
 
     Args:
-        message: What is missing.
+        message: Text of the error.
 
     Example:
-        >>> make_truncated("too short").code.value
+        >>> make_truncated_error("too short").code.value
         'upstream.answer_truncated'
     """
     return BuckthornstileError(
--- a/buckthornstile/client/_event_stream.py
+++ b/buckthornstile/client/_event_stream.py
@@ -1,12 +1,12 @@
-"""Reads an entry's event stream and verifies that it is whole."""
+"""Parses the event stream of an entry and checks that it is complete."""
 
 import hashlib
 import json
 from collections.abc import Iterator
 
-from buckthornstile.client._errors import make_truncated, parse_error
+from buckthornstile.client._errors import make_truncated_error, parse_error
 
-MAX_LINE_BYTES = 1 << 20
+MAX_EVENT_LINE_BYTES = 1 << 20
 _END = b"event: end"
 _ERROR = b"event: error"
 _DATA = b"data:"
@@ -14,80 +14,81 @@
 
 
 class EventStreamParser:
-    r"""Yields the data of events; the stream's own end event must match them.
+    r"""Parser of an event stream that checks it against its end event.
 
-    The entry ends a good stream with ``event: end`` and the length and digest
-    of all bytes before it, and a failed one with ``event: error``.
+    The entry ends a complete stream with ``event: end``, which holds the length and
+    digest of all bytes before it, and a failed stream with ``event: error``.
 
     Example:
-        >>> reader = EventStreamParser()
-        >>> list(reader.feed(b"data: hello\n\n"))
+        >>> parser = EventStreamParser()
+        >>> list(parser.feed(b"data: hello\n\n"))
         [b'hello']
-        >>> reader.finish()
+        >>> parser.finish()
         Traceback (most recent call last):
-        buckthornstile.base._errors.BuckthornstileError: the stream ended early
+        buckthornstile.base._errors.BuckthornstileError: the stream ended
+        without its end event
     """
 
     def __init__(self) -> None:
-        self._parts: list[bytes] = []
-        self._line_length = 0
+        self._partial_line: list[bytes] = []
+        self._partial_length = 0
         self._digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
         self._length = 0
-        self._last_event = b""
-        self._whole = False
+        self._final_event = b""
+        self._end_matches = False
 
     @property
     def is_complete(self) -> bool:
-        """Whether the end event has come and matches what came before."""
-        return self._whole
+        """Whether the end event has arrived and matches the bytes before it."""
+        return self._end_matches
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Takes in the next bytes of the stream.
+        """Parses the next bytes and yields the data of each complete data line.
 
-        Yields the data of the events that they complete, one item a line, also
-        of those that came before an error.
+        Data that arrived before an error is yielded before the error is raised.
 
         Args:
-            data: The bytes, cut anywhere.
+            data: Next bytes of the stream, which may end anywhere in a line.
 
         Raises:
-            BuckthornstileError: The entry's own error, or ``ANSWER_TRUNCATED``
-                for a stream that does not match its end event.
+            BuckthornstileError: With the code of the stream's error event, or
+                ``ANSWER_TRUNCATED`` for a stream that is malformed or does not
+                match its end event.
         """
-        for line in self._split(data):
-            payload = self._take_line(line)
+        for line in self._split_lines(data):
+            payload = self._process_line(line)
             if payload is not None:
                 yield payload
 
     def finish(self) -> None:
-        """Checks that the stream was whole, when its connection has ended.
+        """Checks that the stream is complete after its connection has ended.
 
         Raises:
-            BuckthornstileError: With ``ANSWER_TRUNCATED``.
+            BuckthornstileError: With ``ANSWER_TRUNCATED`` if the end event is missing.
         """
-        if not self._whole:
-            raise make_truncated("the stream ended early")
+        if not self._end_matches:
+            raise make_truncated_error("the stream ended without its end event")
 
-    def _split(self, data: bytes) -> list[bytes]:
+    def _split_lines(self, data: bytes) -> list[bytes]:
         lines = data.split(b"\n")
-        self._parts.append(lines[0])
-        self._line_length += len(lines[0])
-        if self._line_length > MAX_LINE_BYTES:
-            raise make_truncated("a line of the stream is too long")
+        self._partial_line.append(lines[0])
+        self._partial_length += len(lines[0])
+        if self._partial_length > MAX_EVENT_LINE_BYTES:
+            raise make_truncated_error("a line of the stream exceeds the length limit")
         if len(lines) == 1:
             return []
-        lines[0] = b"".join(self._parts)
+        lines[0] = b"".join(self._partial_line)
         rest = lines.pop()
-        self._parts = [rest]
-        self._line_length = len(rest)
+        self._partial_line = [rest]
+        self._partial_length = len(rest)
         return lines
 
-    def _take_line(self, line: bytes) -> bytes | None:
-        if self._last_event:
-            self._take_last_event(line)
+    def _process_line(self, line: bytes) -> bytes | None:
+        if self._final_event:
+            self._process_final_event(line)
             return None
         if line in (_END, _ERROR):
-            self._last_event = line
+            self._final_event = line
             return None
         self._digest.update(line + b"\n")
         self._length += len(line) + 1
@@ -95,16 +96,16 @@
             return line[len(_DATA) :].strip()
         return None
 
-    def _take_last_event(self, line: bytes) -> None:
-        if not line and self._whole:
+    def _process_final_event(self, line: bytes) -> None:
+        if not line and self._end_matches:
             return
-        if self._whole or not line.startswith(_DATA):
-            raise make_truncated("the stream goes on after its end")
+        if self._end_matches or not line.startswith(_DATA):
+            raise make_truncated_error("the stream continues after its final event")
         payload = line[len(_DATA) :].strip()
-        if self._last_event == _ERROR:
-            raise parse_error(payload) or make_truncated("the stream failed")
+        if self._final_event == _ERROR:
+            raise parse_error(payload) or make_truncated_error("the stream failed")
         self._check_end(payload)
-        self._whole = True
+        self._end_matches = True
 
     def _check_end(self, payload: bytes) -> None:
         try:
@@ -112,6 +113,8 @@
             matches = end["length"] == self._length
             matches = matches and end["digest"] == self._digest.hexdigest()
         except (ValueError, KeyError, TypeError) as error:
-            raise make_truncated("the stream's end is malformed") from error
+            raise make_truncated_error("the stream's end event is malformed") from error
         if not matches:
-            raise make_truncated("the stream does not match its length or digest")
+            raise make_truncated_error(
+                "the stream does not match the length or digest in its end event"
+            )
--- a/buckthornstile/client/_exchange.py
+++ b/buckthornstile/client/_exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange with an entry, with a bounded buffer for its answer."""
+"""One HTTP exchange with an entry, with a bounded buffer for the response."""
 
 import asyncio
 import ssl
@@ -12,12 +12,15 @@
 from tornado.tcpclient import TCPClient
 
 from buckthornstile.base import BuckthornstileError, ErrorCode
-from buckthornstile.client._errors import make_lost, make_truncated
+from buckthornstile.client._errors import (
+    make_connection_lost_error,
+    make_truncated_error,
+)
 
 CONNECT_TIMEOUT_S = 2.0
-MAX_ANSWER_BYTES = 1 << 40
+MAX_RESPONSE_BODY_BYTES = 1 << 40
 _CHUNK_BYTES = 1 << 16
-_BUFFERED_CHUNKS = 16
+_MAX_BUFFERED_CHUNKS = 16
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,11 +28,12 @@
     """A request to one entry.
 
     Args:
-        url: The entry's URL, with an IP number and a port.
-        method: The HTTP method.
-        path: The path, from its first slash.
-        headers: The headers, without length and host; not shown, for the key.
-        body: The body.
+        url: URL of the entry, with an IP address and a port.
+        method: HTTP method.
+        path: Path, with its leading slash.
+        headers: Headers without ``Content-Length`` and ``Host``. They hold the
+            API key, so the object's ``repr`` leaves them out.
+        body: Request body.
     """
 
     url: str
@@ -39,14 +43,14 @@
     body: bytes = b""
 
 
-class _Receiver(httputil.HTTPMessageDelegate):
-    """Hands an answer over, head first; a full buffer slows the sender."""
+class _ResponseReceiver(httputil.HTTPMessageDelegate):
+    """Buffers a response; while the buffer is full, nothing more is read."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
-        self.head: asyncio.Future[tuple[int, httputil.HTTPHeaders]]
-        self.head = loop.create_future()
-        self.chunks: asyncio.Queue[bytes] = asyncio.Queue(_BUFFERED_CHUNKS)
+        self.headers_future: asyncio.Future[tuple[int, httputil.HTTPHeaders]]
+        self.headers_future = loop.create_future()
+        self.chunks: asyncio.Queue[bytes] = asyncio.Queue(_MAX_BUFFERED_CHUNKS)
         self.finished = False
         self.closed = False
 
@@ -56,15 +60,15 @@
         headers: httputil.HTTPHeaders,
     ) -> Awaitable[None] | None:
         assert isinstance(start_line, httputil.ResponseStartLine)
-        if start_line.code >= 200 and not self.head.done():
-            self.head.set_result((start_line.code, headers))
+        if start_line.code >= 200 and not self.headers_future.done():
+            self.headers_future.set_result((start_line.code, headers))
         return None
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
         return None if self.closed else self.chunks.put(chunk)
 
     def close(self) -> None:
-        """Drops what nobody will read, so that no chunk waits for room."""
+        """Drops the buffered chunks, so that no put waits for a full buffer."""
         self.closed = True
         while not self.chunks.empty():
             self.chunks.get_nowait()
@@ -74,31 +78,32 @@
 
 
 class Exchange:
-    """An open exchange: the answer's head, then its parts.
+    """An open exchange, which yields the response's headers and then its body.
 
     Args:
-        connection: The connection that the request was sent on.
+        connection: Connection on which the request was sent.
     """
 
     def __init__(self, connection: HTTP1Connection) -> None:
         self._connection = connection
-        self._receiver = _Receiver()
+        self._receiver = _ResponseReceiver()
         self._task = asyncio.ensure_future(self._receive())
 
-    async def read_head(self) -> tuple[int, httputil.HTTPHeaders]:
+    async def read_headers(self) -> tuple[int, httputil.HTTPHeaders]:
         """Reads the status and the headers.
 
         Raises:
-            BuckthornstileError: With ``CONNECTION_LOST``.
+            BuckthornstileError: With ``CONNECTION_LOST`` if the connection ended
+                before the headers arrived.
         """
-        return await asyncio.shield(self._receiver.head)
+        return await asyncio.shield(self._receiver.headers_future)
 
-    async def iterate(self) -> AsyncIterator[bytes]:
-        """Yields the answer's parts.
+    async def iterate_chunks(self) -> AsyncIterator[bytes]:
+        """Yields the chunks of the response body.
 
         Raises:
             BuckthornstileError: With ``ANSWER_TRUNCATED`` if the connection
-                ended before the answer did.
+                ended before the response did.
         """
         while True:
             chunk = await self._receiver.chunks.get()
@@ -106,12 +111,12 @@
                 break
             yield chunk
         if not self._receiver.finished:
-            raise make_truncated("the connection ended before the answer did")
+            raise make_truncated_error("the connection ended before the response did")
 
     def close(self) -> None:
-        """Closes the connection, whatever is still on its way."""
-        # A cancelled read would have tornado print a traceback; a closed stream
-        # ends it as well.
+        """Closes the connection, even if the response is incomplete."""
+        # Closing the stream ends the read without the traceback that tornado
+        # logs when a read is cancelled.
         self._receiver.close()
         if self._connection.stream is not None:
             self._connection.stream.close()
@@ -123,10 +128,13 @@
         except (StreamClosedError, OSError, httputil.HTTPInputError):
             receiver.finished = False
         finally:
-            if not receiver.head.done():
-                receiver.head.set_exception(make_lost("no answer came"))
-                # Retrieved here as well, since a closed exchange reads no head.
-                receiver.head.exception()
+            if not receiver.headers_future.done():
+                receiver.headers_future.set_exception(
+                    make_connection_lost_error("no response arrived")
+                )
+                # A closed exchange does not read the headers. Retrieving the
+                # exception here keeps asyncio from logging it as never retrieved.
+                receiver.headers_future.exception()
         await receiver.chunks.put(b"")
 
 
@@ -138,16 +146,17 @@
 ) -> Exchange:
     """Connects to an entry and sends a request.
 
-    Each exchange has its own connection: on one that was kept, a request may be
-    lost to a server that has just closed it, and nobody could say if it ran.
+    Each exchange has its own connection. A server may close a kept connection
+    just when a request is sent on it, and then it is unknown whether the request
+    has run.
 
     Args:
-        request: The request.
+        request: Request to send.
         connect_timeout: Seconds to wait for the connection.
         ssl_options: TLS options for ``https`` URLs.
 
     Raises:
-        BuckthornstileError: With ``CONNECTION_LOST``; its verdict is NOT_RUN
+        BuckthornstileError: With ``CONNECTION_LOST``; the verdict is NOT_RUN
             only if no byte was sent.
     """
     address = urlsplit(request.url)
@@ -166,7 +175,9 @@
         ) from error
     stream.set_nodelay(True)
     parameters = HTTP1ConnectionParameters(
-        no_keep_alive=True, chunk_size=_CHUNK_BYTES, max_body_size=MAX_ANSWER_BYTES
+        no_keep_alive=True,
+        chunk_size=_CHUNK_BYTES,
+        max_body_size=MAX_RESPONSE_BODY_BYTES,
     )
     connection = HTTP1Connection(stream, True, parameters)
     headers = httputil.HTTPHeaders(request.headers)
@@ -179,5 +190,7 @@
         connection.finish()
     except (StreamClosedError, OSError) as error:
         stream.close()
-        raise make_lost("the connection broke while the request was sent") from error
+        raise make_connection_lost_error(
+            "the connection was lost while the request was sent"
+        ) from error
     return Exchange(connection)
--- a/buckthornstile/client/_retry.py
+++ b/buckthornstile/client/_retry.py
@@ -1,4 +1,4 @@
-"""Decides whether, when and through which entry a call is tried again."""
+"""Decides whether, when and through which entry a call is retried."""
 
 import random
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from buckthornstile.base import BuckthornstileError, ErrorCode, Verdict
 from buckthornstile.client._errors import get_worst_verdict
 
-FINAL_CODES = frozenset(
+NON_RETRYABLE_CODES = frozenset(
     {
         ErrorCode.BODY_TOO_LARGE,
         ErrorCode.HEADERS_TOO_LARGE,
@@ -21,17 +21,18 @@
         ErrorCode.DEADLINE_PASSED,
     }
 )
-"""Refusals that another attempt through another entry would not change."""
+"""Codes of errors that every entry would return, so that a retry is useless."""
 
 
 @dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """How often and how fast a call is tried again.
+    """Number of attempts of a call and delays between them.
 
     Args:
-        maximum_attempts: Attempts in all.
-        first_delay: Seconds before the second attempt; doubles.
-        maximum_delay: The greatest such delay, in seconds.
+        maximum_attempts: Number of attempts, including the first.
+        first_delay: Seconds before the second attempt; the delay doubles with each
+            further attempt.
+        maximum_delay: Upper bound of the delay, in seconds.
 
     Example:
         >>> RetryPolicy().maximum_attempts
@@ -48,38 +49,40 @@
     """One attempt of a call.
 
     Args:
-        number: From 1.
-        entry: The index of the entry to send it to.
-        age: Seconds since the call's first attempt.
+        number: Number of the attempt, from 1.
+        entry_index: Index of the entry that the attempt is sent to.
+        first_attempt_age: Seconds since the call's first attempt.
         timeout: Seconds until the call's deadline.
     """
 
     number: int
-    entry: int
-    age: float
+    entry_index: int
+    first_attempt_age: float
     timeout: float
 
 
 class RetryState:
-    """The attempts of one call.
+    """State of one call over its attempts.
 
     Args:
-        entry_count: Entries to choose from.
-        idempotent: Whether the call may run more than once.
-        deadline: When the caller gives up, in seconds.
-        generator: The source of jitter and of the first entry.
-        policy: How often to try.
+        entry_count: Number of entries to choose from.
+        idempotent: Whether the call is safe to run more than once.
+        deadline: Deadline of the call, in seconds on the clock of ``now``.
+        generator: Source of the jitter and of the choice of the first entry.
+        policy: Number of attempts and delays between them.
 
     Example:
-        >>> attempts = RetryState(2, idempotent=False, deadline=9.0,
+        >>> retry_state = RetryState(2, idempotent=False, deadline=9.0,
         ...     generator=random.Random(1))
-        >>> first = attempts.begin(0.0)
+        >>> first = retry_state.start_attempt(0.0)
         >>> refusal = BuckthornstileError(ErrorCode.QUEUE_FULL)
-        >>> attempts.get_delay(refusal, 0.1) is not None
+        >>> retry_state.get_retry_delay(refusal, 0.1) is not None
         True
-        >>> second = attempts.begin(0.2)
-        >>> second.number, second.age, second.entry == first.entry
-        (2, 0.2, False)
+        >>> second = retry_state.start_attempt(0.2)
+        >>> second.number, second.first_attempt_age
+        (2, 0.2)
+        >>> second.entry_index == first.entry_index
+        False
     """
 
     def __init__(
@@ -97,19 +100,19 @@
         self.generator = generator
         self.policy = policy or RetryPolicy()
         self.verdict = Verdict.NOT_RUN
-        self._first_entry = generator.randrange(entry_count)
-        self._number = 0
-        self._started = 0.0
+        self._first_entry_index = generator.randrange(entry_count)
+        self._attempt_count = 0
+        self._first_attempt_at = 0.0
 
-    def begin(self, now: float) -> Attempt:
-        """Begins the next attempt, through the next entry.
+    def start_attempt(self, now: float) -> Attempt:
+        """Starts the next attempt, through the next entry in turn.
 
         Args:
-            now: The time, in seconds.
+            now: Current time, in seconds.
 
         Raises:
-            BuckthornstileError: With ``DEADLINE_PASSED``, and the worst verdict
-                of the attempts so far.
+            BuckthornstileError: With ``DEADLINE_PASSED`` and the most severe
+                verdict of the attempts so far.
         """
         if now >= self.deadline:
             raise BuckthornstileError(
@@ -117,36 +120,41 @@
                 "the call's timeout has passed",
                 verdict=self.verdict,
             )
-        if self._number == 0:
-            self._started = now
-        entry = (self._first_entry + self._number) % self.entry_count
-        self._number += 1
-        return Attempt(self._number, entry, now - self._started, self.deadline - now)
+        if self._attempt_count == 0:
+            self._first_attempt_at = now
+        entry_index = (self._first_entry_index + self._attempt_count) % self.entry_count
+        self._attempt_count += 1
+        return Attempt(
+            self._attempt_count,
+            entry_index,
+            now - self._first_attempt_at,
+            self.deadline - now,
+        )
 
-    def get_delay(self, error: BuckthornstileError, now: float) -> float | None:
-        """Decides on a failed attempt.
+    def get_retry_delay(self, error: BuckthornstileError, now: float) -> float | None:
+        """Returns the delay before the retry of a failed attempt.
 
         Args:
-            error: Why it failed, with its verdict.
-            now: The time, in seconds.
+            error: Error of the attempt, with its verdict.
+            now: Current time, in seconds.
 
         Returns:
-            Seconds to wait before the next attempt, or None to give up.
+            Seconds to wait before the next attempt, or None for no retry.
         """
         self.verdict = get_worst_verdict(self.verdict, error.verdict)
-        may_repeat = self.idempotent or error.verdict is Verdict.NOT_RUN
-        if not may_repeat or error.code in FINAL_CODES:
+        may_retry = self.idempotent or error.verdict is Verdict.NOT_RUN
+        if not may_retry or error.code in NON_RETRYABLE_CODES:
             return None
-        if self._number >= self.policy.maximum_attempts:
+        if self._attempt_count >= self.policy.maximum_attempts:
             return None
         delay = max(error.retry_after or 0.0, self._get_backoff())
         return delay if now + delay < self.deadline else None
 
-    def give_up(self, error: BuckthornstileError) -> BuckthornstileError:
-        """Makes the call's error: the last one, with the worst verdict of all.
+    def make_final_error(self, error: BuckthornstileError) -> BuckthornstileError:
+        """Creates the error of the call: the last one, with the most severe verdict.
 
         Args:
-            error: The last attempt's error.
+            error: Error of the last attempt.
         """
         return BuckthornstileError(
             error.code,
@@ -156,6 +164,6 @@
         )
 
     def _get_backoff(self) -> float:
-        delay = self.policy.first_delay * 2.0 ** (self._number - 1)
-        bounded = min(delay, self.policy.maximum_delay)
-        return bounded * self.generator.uniform(0.5, 1.0)
+        delay = self.policy.first_delay * 2.0 ** (self._attempt_count - 1)
+        bounded_delay = min(delay, self.policy.maximum_delay)
+        return bounded_delay * self.generator.uniform(0.5, 1.0)
--- a/buckthornstile/client/_session.py
+++ b/buckthornstile/client/_session.py
@@ -1,11 +1,11 @@
-"""Decides how a trainer follows one lot over breaks, silences and restarts."""
+"""Decides when a trainer attaches to its lot again after a stream has failed."""
 
 from dataclasses import dataclass
 from enum import Enum
 from functools import singledispatchmethod
 
 from buckthornstile.base import BuckthornstileError, ErrorCode, Verdict
-from buckthornstile.client._retry import FINAL_CODES
+from buckthornstile.client._retry import NON_RETRYABLE_CODES
 from buckthornstile.samples import (
     AttachRequest,
     EndLine,
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionPolicy:
-    """How patiently a trainer follows a lot.
+    """Timeout and delays with which a trainer attaches to its lot.
 
     Args:
-        silence_timeout: Seconds without any line after which the trainer
+        silence_timeout: Seconds without a line on the stream after which the trainer
             attaches through another entry.
-        first_delay: Seconds before the second attach in a row that brought
-            nothing; doubles.
-        maximum_delay: The greatest such delay, in seconds.
+        first_delay: Seconds before the next attach when the last one brought no
+            new sample; the delay doubles with each further one.
+        maximum_delay: Upper bound of the delay, in seconds.
 
     Example:
         >>> SessionPolicy().silence_timeout
@@ -42,7 +42,7 @@
 
 
 class SessionAction(Enum):
-    """What the trainer's client does next."""
+    """Next action of the trainer's client."""
 
     READ = "read"
     YIELD = "yield"
@@ -52,39 +52,41 @@
 
 @dataclass(frozen=True, slots=True)
 class AttachAttempt:
-    """An attach to send.
+    """An attach request with its entry and delay.
 
     Args:
-        request: The attach.
-        entry: The index of the entry to send it to.
-        delay: Seconds to wait before.
+        request: The attach request.
+        entry_index: Index of the entry that the request is sent to.
+        delay: Seconds to wait before the request is sent.
     """
 
     request: AttachRequest
-    entry: int
+    entry_index: int
     delay: float
 
 
 class LotSession:
-    """One lot, as its trainer follows it through any of several entries.
+    """State of one lot in its trainer, which may attach through any entry.
 
     Args:
-        received: What the trainer has.
-        entry_count: Entries to choose from.
-        now: The time, in seconds.
-        first_entry: The entry to begin with.
-        policy: How patiently to follow.
+        received: Receiver of the lot's samples.
+        entry_count: Number of entries to choose from.
+        now: Current time, in seconds.
+        first_entry_index: Index of the entry of the first attach.
+        policy: Timeout and delays.
 
     Example:
         >>> from buckthornstile.samples import GroupSpecification, LotSpecification
         >>> group = GroupSpecification(prompt="p", samples=1)
-        >>> wanted = LotSpecification(lot="l", trainer="t", groups=(group,), version=1)
-        >>> session = LotSession(SampleReceiver(wanted), entry_count=2, now=0.0)
-        >>> session.begin_attach(0.0).entry
+        >>> specification = LotSpecification(
+        ...     lot="l", trainer="t", groups=(group,), version=1)
+        >>> receiver = SampleReceiver(specification)
+        >>> session = LotSession(receiver, entry_count=2, now=0.0)
+        >>> session.start_attach(0.0).entry_index
         0
         >>> session.on_stream_failed(1.0)
         <SessionAction.ATTACH: 'attach'>
-        >>> session.begin_attach(1.0).entry
+        >>> session.start_attach(1.0).entry_index
         1
     """
 
@@ -94,38 +96,38 @@
         *,
         entry_count: int,
         now: float,
-        first_entry: int = 0,
+        first_entry_index: int = 0,
         policy: SessionPolicy | None = None,
     ) -> None:
         self.received = received
         self.entry_count = entry_count
-        self.entry = first_entry
+        self.entry_index = first_entry_index
         self.policy = policy or SessionPolicy()
         self.deadline = now + received.specification.timeout
-        self.attach: AttachAttempt | None = None
+        self.last_attach_attempt: AttachAttempt | None = None
         self.attach_count = 0
-        self._vain_attaches = 0
+        self._unproductive_attaches = 0
         self._retry_after = 0.0
 
     def get_read_timeout(self, now: float) -> float:
-        """Gives the seconds to wait for the next line, from now on.
+        """Returns the seconds to wait for the next line.
 
-        Silence counts from the moment at which the client begins to read, since
-        the trainer may have been busy with the sample before.
+        The silence timeout starts when the client starts to read, because the
+        trainer may have been processing the previous sample until then.
 
         Args:
-            now: The time, in seconds.
+            now: Current time, in seconds.
         """
         return max(0.0, min(self.deadline - now, self.policy.silence_timeout))
 
-    def begin_attach(self, now: float) -> AttachAttempt:
-        """Makes the next attach.
+    def start_attach(self, now: float) -> AttachAttempt:
+        """Creates the next attach attempt.
 
         Args:
-            now: The time, in seconds.
+            now: Current time, in seconds.
 
         Raises:
-            BuckthornstileError: With ``DEADLINE_PASSED``.
+            BuckthornstileError: With ``DEADLINE_PASSED`` after the lot's timeout.
         """
         if now >= self.deadline:
             raise BuckthornstileError(
@@ -136,65 +138,67 @@
         delay = max(self._get_backoff(), self._retry_after)
         self._retry_after = 0.0
         self.attach_count += 1
-        self._vain_attaches += 1
-        self.attach = AttachAttempt(
-            self.received.make_attach_request(), self.entry, delay
+        self._unproductive_attaches += 1
+        self.last_attach_attempt = AttachAttempt(
+            self.received.make_attach_request(), self.entry_index, delay
         )
-        return self.attach
+        return self.last_attach_attempt
 
     def on_stream_failed(
         self, now: float, error: BuckthornstileError | None = None
     ) -> SessionAction:
-        """Takes in that a stream broke, fell silent or was refused.
+        """Returns the next action after a stream ended, timed out or was refused.
 
         Args:
-            now: The time, in seconds.
-            error: The entry's error, if it gave one.
+            now: Current time, in seconds.
+            error: Error of the entry or the connection, if there is one.
 
         Raises:
-            BuckthornstileError: That error, if no entry would decide otherwise.
+            BuckthornstileError: That error, if every entry would return it.
         """
-        if error is not None and error.code in FINAL_CODES:
+        if error is not None and error.code in NON_RETRYABLE_CODES:
             raise error
         if error is not None:
             self._retry_after = error.retry_after or 0.0
         if self.received.is_complete:
             return SessionAction.FINISH
-        self.entry = (self.entry + 1) % self.entry_count
+        self.entry_index = (self.entry_index + 1) % self.entry_count
         return SessionAction.ATTACH
 
     @singledispatchmethod
     def on_line(self, line: Line, now: float) -> SessionAction:
-        """Takes in one line of the stream.
+        """Processes one line of the stream.
 
         Args:
-            line: The line.
-            now: The time, in seconds.
+            line: The decoded line.
+            now: Current time, in seconds.
 
         Returns:
-            What to do next; ``YIELD`` for a sample that is new.
+            The next action; ``YIELD`` for a new sample.
 
         Raises:
-            BuckthornstileError: For an error that no entry would decide
-                otherwise.
+            BuckthornstileError: For an error that every entry would return.
         """
-        raise TypeError(f"not a line: {line!r}")
+        raise TypeError(f"unknown type of lot line: {line!r}")
 
     @on_line.register
     def _(self, line: SampleLine, now: float) -> SessionAction:
         try:
-            receipt = self.received.receive(line)
+            result = self.received.receive(line)
         except BuckthornstileError:
             return self.on_stream_failed(now)
-        if receipt is ReceiveResult.NEW:
-            self._vain_attaches = 0
+        if result is ReceiveResult.NEW:
+            self._unproductive_attaches = 0
             return SessionAction.YIELD
-        if receipt is ReceiveResult.DUPLICATE:
+        if result is ReceiveResult.DUPLICATE:
             return SessionAction.READ
-        # The entry makes the slot again, now that it learns the version; one
-        # that brings nothing new is left.
+        # The sample is too old. A new attach sends the trainer's version, so that
+        # the entry generates the slot again. A stream that has brought no new
+        # sample is replaced by one through the next entry.
         return (
-            self.on_stream_failed(now) if self._vain_attaches else SessionAction.ATTACH
+            self.on_stream_failed(now)
+            if self._unproductive_attaches
+            else SessionAction.ATTACH
         )
 
     @on_line.register
@@ -216,7 +220,7 @@
         return self.on_stream_failed(now, error)
 
     def _get_backoff(self) -> float:
-        if self._vain_attaches == 0:
+        if self._unproductive_attaches == 0:
             return 0.0
-        doublings = min(self._vain_attaches - 1, _MAX_DOUBLINGS)
+        doublings = min(self._unproductive_attaches - 1, _MAX_DOUBLINGS)
         return min(self.policy.first_delay * 2.0**doublings, self.policy.maximum_delay)
--- a/buckthornstile/client/_trainer.py
+++ b/buckthornstile/client/_trainer.py
@@ -1,4 +1,4 @@
-"""The trainers' client: runs lots through any entry and keeps what came."""
+"""Client for trainers, which runs lots through any entry."""
 
 import asyncio
 import json
@@ -9,7 +9,11 @@
 from typing import Any
 
 from buckthornstile.base import BuckthornstileError, TrainerId, WeightVersion
-from buckthornstile.client._errors import make_lost, make_truncated, parse_error
+from buckthornstile.client._errors import (
+    make_connection_lost_error,
+    make_truncated_error,
+    parse_error,
+)
 from buckthornstile.client._exchange import Exchange, HttpRequest, open_exchange
 from buckthornstile.client._line_reader import LineReader
 from buckthornstile.client._session import (
@@ -33,13 +37,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedSample:
-    """A sample, as a trainer gets it.
+    """A sample that a trainer has received.
 
     Args:
-        slot: Which sample of the lot it is.
-        text: The text.
-        body: The engine's whole answer.
-        labels: Which weight versions made which tokens.
+        slot: Position of the sample in the lot.
+        text: Generated text.
+        body: Complete response of the engine.
+        labels: Token ranges with the weight version that generated each.
     """
 
     slot: Slot
@@ -49,12 +53,12 @@
 
     @property
     def oldest_version(self) -> WeightVersion:
-        """The oldest version that made any of its tokens."""
+        """Oldest weight version that generated any of the tokens."""
         return min(label.version for label in self.labels)
 
     @property
     def newest_version(self) -> WeightVersion:
-        """The newest version that made any of its tokens."""
+        """Newest weight version that generated any of the tokens."""
         return max(label.version for label in self.labels)
 
 
@@ -62,10 +66,10 @@
     """Runs lots for one trainer.
 
     Args:
-        entries: The entries' or the balancer's URLs, with IP numbers.
-        key: The client account's key.
-        trainer: The trainer.
-        policy: How patiently to follow a lot.
+        entries: URLs of the entries or of their load balancer, with IP addresses.
+        key: API key of the client account.
+        trainer: Id of the trainer.
+        policy: Timeout and delays with which lots are attached to.
         ssl_options: TLS options for ``https`` URLs.
 
     Example:
@@ -93,159 +97,166 @@
         self.duplicate_count = 0
         self.too_old_count = 0
         self._sessions: set[LotSession] = set()
-        self._tasks: dict[LotSession, asyncio.Task[None]] = {}
-        self._next_entry = 0
+        self._acknowledge_tasks: dict[LotSession, asyncio.Task[None]] = {}
+        self._next_entry_index = 0
         self._next_attach = 0
 
     async def run_lot(
         self, specification: LotSpecification
     ) -> AsyncIterator[ReceivedSample]:
-        """Runs a lot and yields each of its samples once, as they finish.
+        """Runs a lot and yields each of its samples once, in order of arrival.
 
         Args:
-            specification: The lot.
+            specification: Specification of the lot.
 
         Raises:
-            BuckthornstileError: With ``DEADLINE_PASSED`` at the lot's timeout,
-                or the entries' refusal.
+            BuckthornstileError: With ``DEADLINE_PASSED`` at the lot's timeout, or
+                the error with which the entries refuse the lot.
         """
-        # Seconds since the epoch, so that the numbers go on growing when the
-        # trainer restarts.
+        # Attach numbers start at the seconds since the epoch, so that they keep
+        # increasing when the trainer restarts.
         first_attach = max(self._next_attach, int(time.time()))
         received = SampleReceiver(specification, first_attach=first_attach)
         session = LotSession(
             received,
             entry_count=len(self.entries),
             now=time.monotonic(),
-            first_entry=self._next_entry,
+            first_entry_index=self._next_entry_index,
             policy=self.policy,
         )
         self._sessions.add(session)
         try:
             idle_since = time.monotonic()
-            async for line in self._follow(session):
+            async for line in self._receive_samples(session):
                 self.idle_seconds += time.monotonic() - idle_since
                 yield _make_sample(line)
                 idle_since = time.monotonic()
             self.idle_seconds += time.monotonic() - idle_since
         finally:
             self._sessions.discard(session)
-            self._next_entry = session.entry
+            self._next_entry_index = session.entry_index
             self._next_attach = max(self._next_attach, received.next_attach)
             self.attach_count += session.attach_count
             self.duplicate_count += received.duplicate_count
             self.too_old_count += received.too_old_count
 
     async def set_version(self, version: int) -> None:
-        """Tells the entries which weight version the trainer is at.
+        """Sends the trainer's current weight version to all entries.
 
-        An entry that the news does not reach is no fault: every sample's age is
-        checked again when it comes in.
+        Errors are ignored: the age of every sample is checked again when it
+        arrives.
 
         Args:
-            version: The trainer's current weight version.
+            version: Current weight version of the trainer.
         """
         for session in self._sessions:
             session.received.update_trainer_version(version)
         path = f"/v1/trainers/{self.trainer}/version"
         posts = [
-            self._post(entry, path, {"version": version})
-            for entry in range(len(self.entries))
+            self._post(entry_index, path, {"version": version})
+            for entry_index in range(len(self.entries))
         ]
         await asyncio.gather(*posts, return_exceptions=True)
 
     async def close(self) -> None:
-        """Waits for acknowledgements that are still on their way."""
-        await asyncio.gather(*self._tasks.values(), return_exceptions=True)
+        """Waits until the pending acknowledgements are sent."""
+        await asyncio.gather(*self._acknowledge_tasks.values(), return_exceptions=True)
 
-    async def _follow(self, session: LotSession) -> AsyncIterator[SampleLine]:
-        step = SessionAction.ATTACH
-        while step is not SessionAction.FINISH:
-            attach = session.begin_attach(time.monotonic())
-            await asyncio.sleep(attach.delay)
-            step = SessionAction.READ
+    async def _receive_samples(self, session: LotSession) -> AsyncIterator[SampleLine]:
+        action = SessionAction.ATTACH
+        while action is not SessionAction.FINISH:
+            attempt = session.start_attach(time.monotonic())
+            await asyncio.sleep(attempt.delay)
+            action = SessionAction.READ
             exchange = None
             try:
-                exchange = await self._open(attach)
+                exchange = await self._open(attempt)
                 reader = LineReader(exchange)
-                while step in (SessionAction.READ, SessionAction.YIELD):
+                while action in (SessionAction.READ, SessionAction.YIELD):
                     line = decode_line(await _read(reader, session))
-                    step = session.on_line(line, time.monotonic())
-                    if step is SessionAction.YIELD:
+                    action = session.on_line(line, time.monotonic())
+                    if action is SessionAction.YIELD:
                         assert isinstance(line, SampleLine)
-                        self._acknowledge_soon(session)
+                        self._start_acknowledging(session)
                         yield line
-                        step = (
+                        action = (
                             SessionAction.FINISH
                             if session.received.is_complete
-                            else step
+                            else action
                         )
             except BuckthornstileError as error:
-                step = session.on_stream_failed(time.monotonic(), error)
+                action = session.on_stream_failed(time.monotonic(), error)
             finally:
                 if exchange is not None:
                     exchange.close()
-        self._acknowledge_soon(session)
+        self._start_acknowledging(session)
 
-    async def _open(self, attach: AttachAttempt) -> Exchange:
-        body = json.dumps(attach.request.to_json()).encode()
-        exchange = await self._send(attach.entry, "/v1/lots", body)
+    async def _open(self, attempt: AttachAttempt) -> Exchange:
+        body = json.dumps(attempt.request.to_json()).encode()
+        exchange = await self._send(attempt.entry_index, "/v1/lots", body)
         try:
             async with asyncio.timeout(self.policy.silence_timeout):
-                status, _ = await exchange.read_head()
+                status, _ = await exchange.read_headers()
                 if status < _ERROR_STATUS:
                     return exchange
-                parts = [part async for part in exchange.iterate()]
+                chunks = [chunk async for chunk in exchange.iterate_chunks()]
         except TimeoutError as error:
             exchange.close()
-            raise make_lost("the entry did not answer the attach") from error
+            raise make_connection_lost_error(
+                "the entry did not respond to the attach request"
+            ) from error
         except BaseException:
             exchange.close()
             raise
         exchange.close()
-        refusal = parse_error(b"".join(parts))
-        raise refusal or make_lost(f"the entry answered {status}")
+        refusal = parse_error(b"".join(chunks))
+        raise refusal or make_connection_lost_error(
+            f"the entry returned status {status}"
+        )
 
-    async def _send(self, entry: int, path: str, body: bytes) -> Exchange:
+    async def _send(self, entry_index: int, path: str, body: bytes) -> Exchange:
         headers = {
             "Authorization": f"Bearer {self.key}",
             "Content-Type": "application/json",
         }
-        request = HttpRequest(self.entries[entry], "POST", path, headers, body)
+        request = HttpRequest(self.entries[entry_index], "POST", path, headers, body)
         return await open_exchange(request, ssl_options=self.ssl_options)
 
-    async def _post(self, entry: int, path: str, value: object) -> None:
+    async def _post(self, entry_index: int, path: str, value: object) -> None:
         async with asyncio.timeout(_POST_TIMEOUT_S):
-            exchange = await self._send(entry, path, json.dumps(value).encode())
+            exchange = await self._send(entry_index, path, json.dumps(value).encode())
             try:
-                status, _ = await exchange.read_head()
+                status, _ = await exchange.read_headers()
             finally:
                 exchange.close()
         if status >= _ERROR_STATUS:
-            raise make_lost(f"the entry answered {status}")
+            raise make_connection_lost_error(f"the entry returned status {status}")
 
-    def _acknowledge_soon(self, session: LotSession) -> None:
-        if session not in self._tasks and session.received.unacknowledged:
+    def _start_acknowledging(self, session: LotSession) -> None:
+        if session not in self._acknowledge_tasks and session.received.unacknowledged:
             task = asyncio.ensure_future(self._acknowledge(session))
-            self._tasks[session] = task
+            self._acknowledge_tasks[session] = task
 
     async def _acknowledge(self, session: LotSession) -> None:
         received = session.received
         path = f"/v1/lots/{received.specification.lot}/acknowledge"
         try:
-            while (slots := received.unacknowledged) and session.attach is not None:
+            while (
+                slots := received.unacknowledged
+            ) and session.last_attach_attempt is not None:
                 value = {
-                    "attach": session.attach.request.attach,
+                    "attach": session.last_attach_attempt.request.attach,
                     "trainer": self.trainer,
                     "slots": [[slot.group, slot.index] for slot in slots],
                 }
-                await self._post(session.attach.entry, path, value)
+                await self._post(session.last_attach_attempt.entry_index, path, value)
                 received.mark_acknowledged(slots)
         except (BuckthornstileError, TimeoutError):
-            # The agents drop the samples by age; nothing is delivered twice.
+            # The agents drop unacknowledged samples by age. No sample is delivered
+            # twice.
             return
         finally:
-            del self._tasks[session]
+            del self._acknowledge_tasks[session]
 
 
 async def _read(reader: LineReader, session: LotSession) -> bytes:
@@ -253,9 +264,11 @@
         async with asyncio.timeout(session.get_read_timeout(time.monotonic())):
             line = await reader.read()
     except TimeoutError as error:
-        raise make_lost("the entry fell silent") from error
+        raise make_connection_lost_error(
+            "no line arrived within the silence timeout"
+        ) from error
     if line is None:
-        raise make_truncated("the lot's stream ended early")
+        raise make_truncated_error("the lot's stream ended without its end line")
     return line
 
 
--- a/buckthornstile/client/tests/test_caller.py
+++ b/buckthornstile/client/tests/test_caller.py
@@ -137,7 +137,7 @@
     def repeat_always(self, error, now):
         return 0.0
 
-    monkeypatch.setattr(RetryState, "get_delay", repeat_always)
+    monkeypatch.setattr(RetryState, "get_retry_delay", repeat_always)
     names = ["closes without an answer", "answers whole"]
     assert len(call(names, "a non-idempotent")[1]) == 2
 
