--- a/buckthornstile/client/tests/caller.feature
+++ b/buckthornstile/client/tests/caller.feature
@@ -1,38 +1,38 @@
-Feature: A caller gets the whole answer to its own request, or an honest error
+Feature: A caller receives the complete response to its own request or an error with the correct verdict
 
-  Scenario Outline: The first entry fails on a call
+  Scenario Outline: The first entry fails during a call
     Given an entry that <fault>
-    And another entry that answers whole
+    And another entry that returns a complete response
     When a caller makes <a call>
-    Then the caller gets <outcome>
-    And <attempts> attempts arrived, all with one idempotency key
+    Then the caller receives <outcome>
+    And <attempts> attempts arrived, all with the same idempotency key
 
     Examples:
-      | fault                        | a call                | outcome                               | attempts |
-      | is not there                 | a non-idempotent call | the whole answer                      | 1        |
-      | refuses with "not run"       | a non-idempotent call | the whole answer                      | 2        |
-      | refuses with "may have run"  | a non-idempotent call | load.queue_full and may_have_run      | 1        |
-      | refuses with "may have run"  | an idempotent call    | the whole answer                      | 2        |
-      | refuses the key              | an idempotent call    | key.withdrawn and not_run             | 1        |
-      | closes without an answer     | a non-idempotent call | process.connection_lost and may_have_run | 1     |
-      | closes without an answer     | an idempotent call    | the whole answer                      | 2        |
-      | cuts the answer short        | a non-idempotent call | upstream.answer_truncated and may_have_run | 1   |
-      | cuts the answer short        | an idempotent call    | the whole answer                      | 2        |
-      | answers in chunks            | a non-idempotent call | the whole answer                      | 1        |
-      | cuts an answer in chunks     | a non-idempotent call | upstream.answer_truncated and may_have_run | 1   |
-      | declares no length           | a non-idempotent call | upstream.answer_truncated and may_have_run | 1   |
+      | fault                                      | a call                | outcome                                    | attempts |
+      | is not running                             | a non-idempotent call | the complete response                      | 1        |
+      | rejects the call with verdict not_run      | a non-idempotent call | the complete response                      | 2        |
+      | rejects the call with verdict may_have_run | a non-idempotent call | load.queue_full and may_have_run           | 1        |
+      | rejects the call with verdict may_have_run | an idempotent call    | the complete response                      | 2        |
+      | rejects the key                            | an idempotent call    | key.withdrawn and not_run                  | 1        |
+      | closes without a response                  | a non-idempotent call | process.connection_lost and may_have_run   | 1        |
+      | closes without a response                  | an idempotent call    | the complete response                      | 2        |
+      | truncates the response                     | a non-idempotent call | upstream.answer_truncated and may_have_run | 1        |
+      | truncates the response                     | an idempotent call    | the complete response                      | 2        |
+      | returns a chunked response                 | a non-idempotent call | the complete response                      | 1        |
+      | truncates a chunked response               | a non-idempotent call | upstream.answer_truncated and may_have_run | 1        |
+      | declares no length                         | a non-idempotent call | upstream.answer_truncated and may_have_run | 1        |
 
   Scenario Outline: A stream fails after its first event
     Given an entry that <fault>
-    And another entry that answers whole
+    And another entry that returns a complete response
     When a caller makes a streamed call
-    Then the stream gives one event and then <outcome>
+    Then the stream yields one event and then <outcome>
 
     Examples:
-      | fault                         | outcome                                    |
-      | ends the stream without a word | upstream.answer_truncated and may_have_run |
-      | ends the stream with a wrong digest | upstream.answer_truncated and may_have_run |
-      | ends the stream with a wrong length | upstream.answer_truncated and may_have_run |
-      | ends the stream with an error | key.withdrawn and may_have_run             |
-      | goes on after the end         | upstream.answer_truncated and may_have_run |
-      | ends the stream well          | the end                                    |
+      | fault                                   | outcome                                    |
+      | ends the stream without an end event    | upstream.answer_truncated and may_have_run |
+      | ends the stream with a wrong digest     | upstream.answer_truncated and may_have_run |
+      | ends the stream with a wrong length     | upstream.answer_truncated and may_have_run |
+      | ends the stream with an error           | key.withdrawn and may_have_run             |
+      | continues the stream after an end event | upstream.answer_truncated and may_have_run |
+      | ends the stream with an end event       | the end                                    |
--- a/buckthornstile/client/tests/test_caller.py
+++ b/buckthornstile/client/tests/test_caller.py
@@ -1,4 +1,4 @@
-"""Steps of the callers' promise, against entries that send raw bytes."""
+"""Tests of CallerClient against entries that send raw bytes."""
 
 import asyncio
 import contextlib
@@ -18,57 +18,67 @@
 
 scenarios("caller.feature")
 
-WRONG = "00" * 16
-ERROR = (
+WRONG_DIGEST = "00" * 16
+ERROR_EVENT = (
     b'event: error\ndata: {"error": {"code": "key.withdrawn", '
     b'"verdict": "may_have_run"}}\n\n'
 )
-ANSWERS = {
-    "answers whole": fake_entry.make_whole(200, b"done"),
-    'refuses with "not run"': fake_entry.make_refusal(
+RESPONSES = {
+    "returns a complete response": fake_entry.make_response(200, b"done"),
+    "rejects the call with verdict not_run": fake_entry.make_error_response(
         429, "load.queue_full", "not_run"
     ),
-    'refuses with "may have run"': fake_entry.make_refusal(
+    "rejects the call with verdict may_have_run": fake_entry.make_error_response(
         429, "load.queue_full", "may_have_run"
     ),
-    "refuses the key": fake_entry.make_refusal(401, "key.withdrawn", "not_run"),
-    "closes without an answer": b"",
-    "cuts the answer short": fake_entry.make_whole(200, b"do", length=4),
-    "answers in chunks": fake_entry.make_chunked(b"4\r\ndone\r\n0\r\n\r\n"),
-    "cuts an answer in chunks": fake_entry.make_chunked(b"4\r\ndone\r\n"),
-    "declares no length": fake_entry.make_stream(b"done"),
-    "ends the stream without a word": fake_entry.make_stream(fake_entry.EVENT),
-    "ends the stream with a wrong digest": fake_entry.make_stream(
-        fake_entry.EVENT, fake_entry.make_end(digest=WRONG)
+    "rejects the key": fake_entry.make_error_response(401, "key.withdrawn", "not_run"),
+    "closes without a response": b"",
+    "truncates the response": fake_entry.make_response(200, b"do", content_length=4),
+    "returns a chunked response": fake_entry.make_chunked_response(
+        b"4\r\ndone\r\n0\r\n\r\n"
     ),
-    "ends the stream with a wrong length": fake_entry.make_stream(
-        fake_entry.EVENT, fake_entry.make_end(length=3)
+    "truncates a chunked response": fake_entry.make_chunked_response(b"4\r\ndone\r\n"),
+    "declares no length": fake_entry.make_stream_response(b"done"),
+    "ends the stream without an end event": fake_entry.make_stream_response(
+        fake_entry.SAMPLE_EVENT
     ),
-    "ends the stream with an error": fake_entry.make_stream(fake_entry.EVENT, ERROR),
-    "goes on after the end": fake_entry.make_stream(
-        fake_entry.EVENT, fake_entry.make_end(), fake_entry.EVENT
+    "ends the stream with a wrong digest": fake_entry.make_stream_response(
+        fake_entry.SAMPLE_EVENT, fake_entry.make_end_event(digest=WRONG_DIGEST)
     ),
-    "ends the stream well": fake_entry.make_stream(
-        fake_entry.EVENT, fake_entry.make_end()
+    "ends the stream with a wrong length": fake_entry.make_stream_response(
+        fake_entry.SAMPLE_EVENT, fake_entry.make_end_event(length=3)
+    ),
+    "ends the stream with an error": fake_entry.make_stream_response(
+        fake_entry.SAMPLE_EVENT, ERROR_EVENT
+    ),
+    "continues the stream after an end event": fake_entry.make_stream_response(
+        fake_entry.SAMPLE_EVENT, fake_entry.make_end_event(), fake_entry.SAMPLE_EVENT
+    ),
+    "ends the stream with an end event": fake_entry.make_stream_response(
+        fake_entry.SAMPLE_EVENT, fake_entry.make_end_event()
     ),
 }
 
 
-class FirstEntry(random.Random):
+class FirstEntryChooser(random.Random):
+    """Generator with which a call starts at the first entry."""
+
     def randrange(self, *_):
         return 0
 
 
-async def run(names, use):
-    entries = [fake_entry.FakeEntry(lambda *_, n=name: ANSWERS[n]) for name in names]
+async def run_client(faults, use):
+    entries = [
+        fake_entry.FakeEntry(lambda *_, f=fault: RESPONSES[f]) for fault in faults
+    ]
     async with contextlib.AsyncExitStack() as stack:
         urls = [(await stack.enter_async_context(entry)).url for entry in entries]
-        if names[0] == "is not there":
+        if faults[0] == "is not running":
             urls[0] = "http://127.0.0.1:1"
         client = CallerClient(
             urls,
             "secret",
-            generator=FirstEntry(1),
+            generator=FirstEntryChooser(1),
             policy=RetryPolicy(first_delay=0.001),
         )
         outcome = await use(client)
@@ -76,18 +86,18 @@
 
 
 @pytest.fixture
-def names():
+def faults():
     return []
 
 
 @given(parsers.parse("an entry that {fault}"))
 @given(parsers.parse("another entry that {fault}"))
-def add_entry(names, fault):
-    names.append(fault)
+def add_entry(faults, fault):
+    faults.append(fault)
 
 
-@when(parsers.parse("a caller makes {kind} call"), target_fixture="seen")
-def call(names, kind):
+@when(parsers.parse("a caller makes {kind} call"), target_fixture="result")
+def make_call(faults, kind):
     async def use(client):
         events = []
         try:
@@ -95,31 +105,31 @@
                 async for event in client.stream("/v1/x", b"{}"):
                     events.append(event)
                 return events, "the end"
-            answer = await client.call(
+            response = await client.call(
                 "/v1/x", b"{}", idempotent=kind == "an idempotent", timeout=10
             )
-            assert answer.body == b"done"
-            return events, "the whole answer"
+            assert response.body == b"done"
+            return events, "the complete response"
         except BuckthornstileError as error:
             return events, f"{error.code.value} and {error.verdict.value}"
 
-    return asyncio.run(run(names, use))
+    return asyncio.run(run_client(faults, use))
 
 
-@then(parsers.parse("the stream gives one event and then {outcome}"))
-def check_events(seen, outcome):
-    assert seen[0] == ([b"one"], outcome)
-    assert len(seen[1]) == 1
+@then(parsers.parse("the stream yields one event and then {outcome}"))
+def check_events(result, outcome):
+    assert result[0] == ([b"one"], outcome)
+    assert len(result[1]) == 1
 
 
-@then(parsers.parse("the caller gets {outcome}"))
-def check_outcome(seen, outcome):
-    assert seen[0] == ([], outcome)
+@then(parsers.parse("the caller receives {outcome}"))
+def check_outcome(result, outcome):
+    assert result[0] == ([], outcome)
 
 
-@then(parsers.parse("{count:d} attempts arrived, all with one idempotency key"))
-def check_attempts(seen, count):
-    headers = [request[1] for request in seen[1]]
+@then(parsers.parse("{count:d} attempts arrived, all with the same idempotency key"))
+def check_attempts(result, count):
+    headers = [request[1] for request in result[1]]
     assert len(headers) == count
     assert len({h["Idempotency-Key"] for h in headers}) == 1
     numbers = [int(h["X-Attempt"]) for h in headers]
@@ -127,39 +137,54 @@
     assert float(headers[-1]["X-Timeout"]) <= 10
 
 
-def test_without_the_end_event_a_cut_stream_would_pass_for_whole(monkeypatch):
+def test_truncated_stream_is_accepted_if_end_event_is_not_checked(monkeypatch):
+    """Shows that only the check of the end event detects a truncated stream."""
     monkeypatch.setattr(EventStreamParser, "finish", lambda self: None)
-    seen = call(["ends the stream without a word"], "a streamed")
-    assert seen[0] == ([b"one"], "the end")
+    result = make_call(["ends the stream without an end event"], "a streamed")
+    assert result[0] == ([b"one"], "the end")
 
 
-def test_without_the_verdict_a_call_would_run_twice(monkeypatch):
-    def repeat_always(self, error, now):
+def test_call_runs_twice_if_verdict_is_not_checked(monkeypatch):
+    """Shows that only the check of the verdict prevents a retry after a lost call.
+
+    The first entry closes the connection after it has read the request, so a retry
+    of a non-idempotent call would run it a second time.
+    """
+
+    def retry_always(self, error, now):
         return 0.0
 
-    monkeypatch.setattr(RetryState, "get_retry_delay", repeat_always)
-    names = ["closes without an answer", "answers whole"]
-    assert len(call(names, "a non-idempotent")[1]) == 2
+    monkeypatch.setattr(RetryState, "get_retry_delay", retry_always)
+    faults = ["closes without a response", "returns a complete response"]
+    assert len(make_call(faults, "a non-idempotent")[1]) == 2
+
+
+def test_error_of_call_has_most_severe_verdict_of_its_attempts():
+    """Guards against an error that reports not_run for a call that may have run.
 
+    The first attempt may have run and the second is rejected before it runs.
+    """
+    faults = ["rejects the call with verdict may_have_run", "rejects the key"]
+    result = make_call(faults, "an idempotent")
+    assert result[0] == ([], "key.withdrawn and may_have_run")
 
-def test_the_verdict_of_a_call_is_the_worst_of_its_attempts():
-    names = ['refuses with "may have run"', "refuses the key"]
-    seen = call(names, "an idempotent")
-    assert seen[0] == ([], "key.withdrawn and may_have_run")
 
+def test_closing_unfinished_stream_logs_no_traceback(caplog):
+    """Guards against a traceback of tornado in the log of a caller.
 
-def test_breaking_off_a_stream_logs_no_traceback(caplog):
+    The caller closes a stream of which the client has received only a part.
+    """
     event = b"data: " + b"x" * 60_000 + b"\n\n"
-    answer = fake_entry.make_stream(*[event] * 100)
+    response = fake_entry.make_stream_response(*[event] * 100)
 
-    async def go():
-        async with fake_entry.FakeEntry(lambda *_: answer) as entry:
+    async def close_after_first_event():
+        async with fake_entry.FakeEntry(lambda *_: response) as entry:
             client = CallerClient([entry.url], "key")
             async with contextlib.aclosing(client.stream("/v1/completions")) as events:
                 async for _ in events:
-                    await asyncio.sleep(0.05)  # The buffer fills meanwhile.
+                    await asyncio.sleep(0.05)  # Lets the receive buffer fill.
                     break
-            await asyncio.sleep(0.05)  # The connection closes meanwhile.
+            await asyncio.sleep(0.05)  # Lets the connection close.
 
-    asyncio.run(go())
+    asyncio.run(close_after_first_event())
     assert not caplog.records
--- a/buckthornstile/client/tests/test_trainer.py
+++ b/buckthornstile/client/tests/test_trainer.py
@@ -1,4 +1,4 @@
-"""A trainer gets each sample once, whatever becomes of its entries."""
+"""Tests of TrainerClient: every sample is delivered once, whatever entries do."""
 
 import asyncio
 import contextlib
@@ -35,42 +35,46 @@
     return encode_sample(Sample(Slot(0, index), body, (TokenRange(0, 3, version),)))
 
 
-END = encode_line(EndLine(delivered=4))
-BROKEN = make_line(1)[:-20]
-CROSSED = make_line(1).replace(b"sample 1", b"sample 9")
+END_LINE = encode_line(EndLine(delivered=4))
+TRUNCATED_LINE = make_line(1)[:-20]
+LINE_WITH_WRONG_BODY = make_line(1).replace(b"sample 1", b"sample 9")
 FAULTS = {
-    "closes half way": [make_line(0), make_line(1)],
-    "falls silent": [make_line(0), None],
-    "cuts a line": [make_line(0), BROKEN],
-    "crosses a body": [make_line(0), CROSSED],
-    "ends too early": [make_line(0), END],
-    "doubles a sample": [make_line(0), make_line(0), make_line(0)],
-    "sends too old a sample": [make_line(0), make_line(1, version=3)],
-    "sends garbage": [make_line(0), b'{"sample": 7}\n'],
-    "fails": [make_line(0), encode_line(ErrorLine(code=ErrorCode.DRAINING))],
+    "closes after two samples": [make_line(0), make_line(1)],
+    "stops sending": [make_line(0), None],
+    "truncates a line": [make_line(0), TRUNCATED_LINE],
+    "sends a wrong body": [make_line(0), LINE_WITH_WRONG_BODY],
+    "sends the end line too early": [make_line(0), END_LINE],
+    "sends a duplicate sample": [make_line(0), make_line(0), make_line(0)],
+    "sends a sample that is too old": [make_line(0), make_line(1, version=3)],
+    "sends a malformed line": [make_line(0), b'{"sample": 7}\n'],
+    "sends an error line": [
+        make_line(0),
+        encode_line(ErrorLine(code=ErrorCode.DRAINING)),
+    ],
 }
 
 
-def serve(script):
-    """Serves lots by a script, and takes every other post."""
+def make_responder(make_parts):
+    """Returns a function that responds to lots with make_parts, and 200 otherwise."""
 
-    def answer(path, headers, body):
+    def respond(path, headers, body):
         if path != "/v1/lots":
-            return fake_entry.make_whole(200, b"{}")
-        head = fake_entry.HEAD.format(200, "").encode()
-        return [head, *script(json.loads(body))]
+            return fake_entry.make_response(200, b"{}")
+        response_head = fake_entry.RESPONSE_HEAD.format(200, "").encode()
+        return [response_head, *make_parts(json.loads(body))]
 
-    return answer
+    return respond
 
 
-def send_rest(attach):
+def send_missing_samples(attach):
+    """Returns a heartbeat, the samples that the trainer lacks and the end line."""
     received = {index for _, index in attach["received"]}
-    rest = [make_line(n) for n in range(4) if n not in received]
-    return [encode_line(HeartbeatLine()), *rest, END]
+    missing = [make_line(n) for n in range(4) if n not in received]
+    return [encode_line(HeartbeatLine()), *missing, END_LINE]
 
 
-async def run_lot(scripts):
-    entries = [fake_entry.FakeEntry(serve(script)) for script in scripts]
+async def run_lot(part_makers):
+    entries = [fake_entry.FakeEntry(make_responder(m)) for m in part_makers]
     async with contextlib.AsyncExitStack() as stack:
         urls = [(await stack.enter_async_context(entry)).url for entry in entries]
         policy = SessionPolicy(silence_timeout=0.3, first_delay=0.001)
@@ -82,9 +86,10 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_each_sample_comes_once_whatever_the_entry_does(fault):
+def test_each_sample_is_yielded_once_after_entry_fault(fault):
+    """Guards against lost and duplicate samples after a fault of the first entry."""
     client, samples, requests = asyncio.run(
-        run_lot([lambda _: FAULTS[fault], send_rest])
+        run_lot([lambda _: FAULTS[fault], send_missing_samples])
     )
     assert sorted(s.text for s in samples) == [f"sample {n}" for n in range(4)]
     attaches = [json.loads(body) for path, _, body in requests if path == "/v1/lots"]
@@ -98,12 +103,12 @@
         for slot in json.loads(body)["slots"]
     ]
     assert {index for _, index in acknowledged} >= {2, 3}
-    assert (client.too_old_count > 0) is (fault == "sends too old a sample")
+    assert (client.too_old_count > 0) is (fault == "sends a sample that is too old")
     assert client.idle_seconds > 0
 
 
-def test_a_withdrawn_key_ends_the_lot_with_its_code():
-    refusal = encode_line(ErrorLine(code=ErrorCode.KEY_WITHDRAWN))
+def test_withdrawn_key_ends_lot_with_its_error_code():
+    error_line = encode_line(ErrorLine(code=ErrorCode.KEY_WITHDRAWN))
     with pytest.raises(BuckthornstileError) as caught:
-        asyncio.run(run_lot([lambda _: [refusal], send_rest]))
+        asyncio.run(run_lot([lambda _: [error_line], send_missing_samples]))
     assert caught.value.code is ErrorCode.KEY_WITHDRAWN
