--- a/buckthornstile/__init__.py
+++ b/buckthornstile/__init__.py
@@ -1,7 +1,7 @@
 """A rollout service for reinforcement learning.
 
-The names of the library for callers and trainers load on first use, so that
-importing the package alone costs nothing.
+The public names of the client library are imported on first use, so that importing
+the package itself is fast.
 
 Example:
     >>> from buckthornstile import RetryPolicy
@@ -48,7 +48,7 @@
     "__version__",
 ]
 
-_SUBJECTS = {
+_SUBPACKAGES = {
     "BuckthornstileError": "base",
     "ErrorCode": "base",
     "Verdict": "base",
@@ -60,15 +60,17 @@
 
 
 def __getattr__(name: str) -> object:
-    """Loads a public name when it is first used."""
+    """Imports a public name on first use."""
     if name not in __all__:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    subject = importlib.import_module(f"{__name__}.{_SUBJECTS.get(name, 'client')}")
-    value = getattr(subject, name)
+    subpackage = importlib.import_module(
+        f"{__name__}.{_SUBPACKAGES.get(name, 'client')}"
+    )
+    value = getattr(subpackage, name)
     globals()[name] = value
     return value
 
 
 def __dir__() -> list[str]:
-    """Lists the public names."""
+    """Returns the names of the module, including those not imported yet."""
     return sorted({*globals(), *__all__})
--- a/buckthornstile/base/__init__.py
+++ b/buckthornstile/base/__init__.py
@@ -1,4 +1,4 @@
-"""Identifiers, verdicts, errors with codes and checks that all subjects share."""
+"""Identifiers, verdicts, error codes and checks that all packages use."""
 
 from buckthornstile.base._checks import check_name, check_range
 from buckthornstile.base._errors import (
@@ -12,7 +12,7 @@
 from buckthornstile.base._ids import (
     NO_OFFSET,
     NO_TERM,
-    OPEN_ROUTE_KEY,
+    OPEN_ROUTE_KEY_ID,
     UNKNOWN_VERSION,
     AccountId,
     ChangeId,
@@ -35,14 +35,14 @@
     WeightVersion,
     WindowStart,
     make_request_id,
-    split_request_id,
+    parse_request_id,
 )
 
 __all__ = [
     "HTTP_STATUS",
     "NO_OFFSET",
     "NO_TERM",
-    "OPEN_ROUTE_KEY",
+    "OPEN_ROUTE_KEY_ID",
     "UNKNOWN_VERSION",
     "AccountId",
     "BuckthornstileError",
@@ -72,5 +72,5 @@
     "check_range",
     "get_http_status",
     "make_request_id",
-    "split_request_id",
+    "parse_request_id",
 ]
--- a/buckthornstile/base/_checks.py
+++ b/buckthornstile/base/_checks.py
@@ -1,4 +1,4 @@
-"""Checks that name the parameter, its value and the allowed range."""
+"""Checks of parameters, with the name and the allowed range in the error text."""
 
 
 def check_range(
@@ -9,14 +9,14 @@
     maximum: float | None = None,
     unit: str = "",
 ) -> None:
-    """Checks that a number lies in a closed range.
+    """Checks that a number is within a closed range.
 
     Args:
-        name: The parameter's name.
-        value: Its value.
-        minimum: The least allowed value, or None for no bound.
-        maximum: The greatest allowed value, or None for no bound.
-        unit: The unit to name in the message.
+        name: Name of the parameter.
+        value: Value of the parameter.
+        minimum: Smallest allowed value, or None for no bound.
+        maximum: Largest allowed value, or None for no bound.
+        unit: Unit of the value, for the error text.
 
     Raises:
         ValueError: The value is out of range.
@@ -38,24 +38,26 @@
 
 
 def check_name(name: str, value: str, *, maximum_length: int = 128) -> None:
-    """Checks that a text is a plain, printable, bounded name.
+    """Checks that a string is a printable name without spaces and slashes.
 
     Args:
-        name: The parameter's name.
-        value: Its value.
-        maximum_length: The greatest allowed length, in characters.
+        name: Name of the parameter.
+        value: Value of the parameter.
+        maximum_length: Maximum length, in characters.
 
     Raises:
-        ValueError: The text is empty, too long or holds a forbidden character.
+        ValueError: The string is empty, too long or contains a forbidden character.
 
     Example:
         >>> check_name("account", "mill-7")
     """
     if not value:
-        raise ValueError(f"{name} is empty; it must hold 1 to {maximum_length} letters")
+        raise ValueError(
+            f"{name} is empty; it must have 1 to {maximum_length} characters"
+        )
     if len(value) > maximum_length:
         raise ValueError(
-            f"{name} has {len(value)} characters; it must hold at most {maximum_length}"
+            f"{name} has {len(value)} characters; it may have at most {maximum_length}"
         )
     if not value.isprintable() or "/" in value or " " in value:
         raise ValueError(
--- a/buckthornstile/base/_errors.py
+++ b/buckthornstile/base/_errors.py
@@ -1,4 +1,4 @@
-"""Errors with codes, and verdicts on whether a request may have run."""
+"""Error codes, and verdicts on whether a request has run."""
 
 from enum import Enum
 
@@ -6,8 +6,9 @@
 class Verdict(Enum):
     """Whether an upstream may have run a request.
 
-    ``NOT_RUN`` is a promise: no upstream has started the request and none ever
-    will under the same request id. ``RAN`` says that a whole answer exists.
+    ``NOT_RUN`` guarantees that no upstream has started the request or will ever
+    start it under the same request id. ``RAN`` means that a complete response
+    exists.
     """
 
     NOT_RUN = "not_run"
@@ -16,7 +17,7 @@
 
 
 class ErrorCode(Enum):
-    """The stable codes of every error that leaves a process."""
+    """Stable codes of all errors that a process returns."""
 
     # Requests
     BODY_TOO_LARGE = "request.body_too_large"
@@ -64,10 +65,10 @@
     """An error with a stable code and a verdict.
 
     Args:
-        code: What went wrong.
-        message: One sentence for a person; never holds a key.
+        code: Code of the error.
+        message: Text of the error in one sentence; never contains an API key.
         verdict: Whether the request may have run.
-        retry_after: Seconds after which a retry may succeed, if known.
+        retry_after: Seconds after which a retry may succeed, or None if unknown.
 
     Example:
         >>> error = BuckthornstileError(ErrorCode.QUEUE_FULL, "the queue is full")
@@ -94,8 +95,8 @@
     """A call to the platform failed or timed out.
 
     Args:
-        message: One sentence for a person.
-        may_have_taken_effect: Whether the call may have been carried out.
+        message: Text of the error in one sentence.
+        may_have_taken_effect: Whether the platform may have executed the call.
 
     Example:
         >>> PlatformUnavailableError("timed out").may_have_taken_effect
@@ -133,13 +134,13 @@
 
 
 def get_http_status(code: ErrorCode) -> int:
-    """Gives the HTTP status that an error code is answered with.
+    """Returns the HTTP status of the response for an error code.
 
     Args:
-        code: The error's code.
+        code: Code of the error.
 
     Returns:
-        The status; 503 for codes without one of their own.
+        The status, or 503 for a code that is not in ``HTTP_STATUS``.
 
     Example:
         >>> get_http_status(ErrorCode.KEY_MISSING)
--- a/buckthornstile/base/_ids.py
+++ b/buckthornstile/base/_ids.py
@@ -1,79 +1,81 @@
-"""Identifiers that processes, accounts and requests are known by."""
+"""Types of the identifiers of processes, client accounts and requests."""
 
 from enum import Enum
 from typing import NewType
 
 AccountId = NewType("AccountId", str)
-"""A client account, as operators name it."""
+"""Name of a client account, set by operators."""
 
 KeyId = NewType("KeyId", str)
-"""The public name of a client account's key; never the key itself."""
+"""Public id of a client account's API key; never the key itself."""
 
-OPEN_ROUTE_KEY = KeyId("")
-"""The key id of a request that came through an open route."""
+OPEN_ROUTE_KEY_ID = KeyId("")
+"""Key id of a request through a route that allows anonymous requests."""
 
 FailureDomain = NewType("FailureDomain", str)
-"""A part of the platform that fails as a whole."""
+"""Name of a part of the platform that fails as a whole."""
 
 UpstreamId = NewType("UpstreamId", str)
-"""One back end: a model engine or a plain service on its VM."""
+"""Id of an upstream: a model engine or a plain service on its VM."""
 
 ServiceName = NewType("ServiceName", str)
-"""A group of upstreams that serve the same requests."""
+"""Name of a group of upstreams that serve the same requests."""
 
 ProcessName = NewType("ProcessName", str)
-"""The name of one daemon, unique in a deployment."""
+"""Name of a process, unique in a deployment."""
 
 Incarnation = NewType("Incarnation", str)
-"""One life of a process or engine: changes at each start."""
+"""Id of one run of a process or engine, which changes at each start."""
 
 RequestId = NewType("RequestId", str)
-"""An entry's incarnation and a counter, joined by a slash."""
+"""Incarnation of an entry and a counter, joined by a slash."""
 
 IdempotencyKey = NewType("IdempotencyKey", str)
-"""A caller's own name for one call, the same on every attempt."""
+"""Caller's id of one call, the same for every attempt."""
 
 TrainerId = NewType("TrainerId", str)
+"""Name of a trainer."""
+
 LotId = NewType("LotId", str)
-"""One training step's order of samples, named by its trainer."""
+"""Trainer's name of a lot: the samples that it requests for one training step."""
 
 WeightVersion = NewType("WeightVersion", int)
-"""A number that grows with each published set of weights."""
+"""Version number, which increases with each published set of weights."""
 
 UNKNOWN_VERSION = WeightVersion(-1)
-"""The version of an engine that has not reported one."""
+"""Weight version of an engine that has not reported one."""
 
 Offset = NewType("Offset", int)
-"""A position in the platform's log; the first record has offset 0."""
+"""Position in the platform's log; the first record has offset 0."""
 
 NO_OFFSET = Offset(-1)
-"""The position before the first record."""
+"""Offset before the first record."""
 
 Term = NewType("Term", int)
-"""The offset of an accepted lease claim; serves as the fencing number."""
+"""Offset of an accepted lease claim, which is used as the fencing token."""
 
 NO_TERM = Term(-1)
 
 Revision = NewType("Revision", int)
-"""The number of accepted configuration changes so far."""
+"""Number of configuration changes accepted so far."""
 
 ChangeId = NewType("ChangeId", str)
-"""An operator's own name for one configuration change."""
+"""Operator's id of one configuration change."""
 
 OrderId = NewType("OrderId", str)
 WindowStart = NewType("WindowStart", int)
-"""The start of a usage window, in seconds since the epoch."""
+"""Start of a usage window, in seconds since the epoch."""
 
 
 class Role(Enum):
-    """What a process of the system does."""
+    """Role of a process."""
 
     ENTRY = "entry"
     AGENT = "agent"
 
 
 class RequestClass(Enum):
-    """Who waits on a request; the order of members is the order of service."""
+    """Priority class of a request; classes are served in the order of the members."""
 
     INTERACTIVE = "waited"
     TRAINER = "trainer"
@@ -81,14 +83,14 @@
 
 
 def make_request_id(incarnation: Incarnation, counter: int) -> RequestId:
-    """Joins an entry's incarnation and its request counter.
+    """Returns the request id for an entry's incarnation and request counter.
 
     Args:
-        incarnation: The entry's incarnation, without a slash.
-        counter: The entry's own request number, from 0.
+        incarnation: Incarnation of the entry, without a slash.
+        counter: Number of the request in the entry, from 0.
 
     Returns:
-        The id, unique over all entries and their restarts.
+        The request id, unique among all entries and their restarts.
 
     Example:
         >>> make_request_id(Incarnation("e1-07"), 12)
@@ -97,20 +99,20 @@
     return RequestId(f"{incarnation}/{counter}")
 
 
-def split_request_id(request_id: RequestId) -> tuple[Incarnation, int]:
-    """Splits a request id into the entry's incarnation and counter.
+def parse_request_id(request_id: RequestId) -> tuple[Incarnation, int]:
+    """Parses a request id into the entry's incarnation and request counter.
 
     Args:
-        request_id: An id made by :func:`make_request_id`.
+        request_id: Id returned by :func:`make_request_id`.
 
     Returns:
         The incarnation and the counter.
 
     Raises:
-        ValueError: The text is not a request id.
+        ValueError: The string is not a request id.
 
     Example:
-        >>> split_request_id(RequestId("e1-07/12"))
+        >>> parse_request_id(RequestId("e1-07/12"))
         ('e1-07', 12)
     """
     incarnation, _, counter = request_id.rpartition("/")
--- a/buckthornstile/clock/__init__.py
+++ b/buckthornstile/clock/__init__.py
@@ -1,4 +1,4 @@
-"""Clock readings for the daemons' shells; the decision core takes them as arguments."""
+"""Clocks of the processes; decision code receives the time as an argument."""
 
 from buckthornstile.clock._clock import read_boottime, read_wall_time
 
--- a/buckthornstile/clock/_clock.py
+++ b/buckthornstile/clock/_clock.py
@@ -1,13 +1,13 @@
-"""The two clocks that a daemon reads."""
+"""The two clocks that a process reads."""
 
 import time
 
 
 def read_boottime() -> float:
-    """Reads a monotonic clock that goes on while the VM is suspended.
+    """Returns the time of a monotonic clock that advances while the VM is suspended.
 
-    The lease needs it: with CLOCK_MONOTONIC a VM that was suspended past the
-    end of its lease would believe that no time has passed.
+    The lease requires this clock. CLOCK_MONOTONIC stops while a VM is suspended, so a
+    process suspended beyond the end of its lease would still act as its holder.
 
     Returns:
         Seconds since boot.
@@ -20,7 +20,7 @@
 
 
 def read_wall_time() -> float:
-    """Reads the wall clock, for usage windows and for people only.
+    """Returns the wall clock time, for usage windows and display only.
 
     Returns:
         Seconds since the epoch.
--- a/buckthornstile/settings/_common.py
+++ b/buckthornstile/settings/_common.py
@@ -1,7 +1,7 @@
-"""What the settings of all roles share: sources, ranges, units and addresses.
+"""Base class, field helpers and address checks of all settings.
 
-A check that involves two settings stands at the later one; an earlier setting
-that is itself wrong is absent from the check's data, so it is skipped then.
+A check that involves two settings belongs to the one declared later. If the earlier
+setting is invalid, it is missing from the data of the check, which is then skipped.
 """
 
 import ipaddress
@@ -15,13 +15,20 @@
 MAX_PORT = 65535
 
 
-def make_number(
+def make_number_field(
     default: float, minimum: float, maximum: float, unit: str, description: str
 ) -> Any:
-    """Makes the field of a number with its range and unit.
+    """Returns the pydantic field of a numeric setting.
+
+    Args:
+        default: Default value.
+        minimum: Smallest allowed value.
+        maximum: Largest allowed value.
+        unit: Unit of the value.
+        description: Meaning of the setting, for the reference page.
 
     Example:
-        >>> make_number(1.0, 0, 9, "s", "A time.").default
+        >>> make_number_field(1.0, 0, 9, "s", "A time.").default
         1.0
     """
     return Field(
@@ -34,18 +41,31 @@
     )
 
 
-def find_unit(extra: Any) -> str:
-    """Finds the unit among a field's extra data.
+def get_unit(json_schema_extra: Any) -> str:
+    """Returns the unit of a setting, or an empty string if it has none.
+
+    Args:
+        json_schema_extra: Extra data of the setting's field.
 
     Example:
-        >>> find_unit({"unit": "s"})
+        >>> get_unit({"unit": "s"})
         's'
     """
-    return str(extra.get("unit", "")) if isinstance(extra, dict) else ""
+    return (
+        str(json_schema_extra.get("unit", ""))
+        if isinstance(json_schema_extra, dict)
+        else ""
+    )
 
 
 def check_url(value: str) -> str:
-    """Checks a base URL, whose host must be an IP number.
+    """Checks a base URL and returns it without its trailing slash.
+
+    Args:
+        value: URL, whose host must be an IP address.
+
+    Raises:
+        ValueError: The URL has another form.
 
     Example:
         >>> check_url("http://127.0.0.1:80/")
@@ -53,7 +73,7 @@
     """
     try:
         parts = urlsplit(value)
-        # Reading the port is what checks it.
+        # Access to ``parts.port`` raises ValueError for an invalid port.
         is_valid = parts.scheme in ("http", "https") and (parts.port or 1) > 0
         if parts.hostname is None:
             is_valid = False
@@ -67,7 +87,13 @@
 
 
 def check_address(value: str) -> str:
-    """Checks an address of the form ``NUMBER:PORT``; an empty one stands for none.
+    """Checks an address of the form ``NUMBER:PORT`` and returns it.
+
+    Args:
+        value: IP address and port, or an empty string for no address.
+
+    Raises:
+        ValueError: The address has another form.
 
     Example:
         >>> check_address("127.0.0.1:7400")
@@ -87,7 +113,7 @@
 
 
 class CommonSettings(BaseSettings):
-    """What entries and operators' commands share."""
+    """Base class of the settings of entries and of operators' commands."""
 
     model_config = SettingsConfigDict(
         env_prefix=ENVIRONMENT_PREFIX,
--- a/buckthornstile/settings/_entry.py
+++ b/buckthornstile/settings/_entry.py
@@ -1,7 +1,8 @@
-"""The settings of an entry.
+"""Settings of an entry.
 
-On the users' platform they come from the file that the platform writes
-(``buckthornstile.platform.read_node_settings``), else from flags and variables.
+On the users' platform the settings are read from the file that the platform writes
+(``buckthornstile.platform.read_node_settings``), otherwise from flags and environment
+variables.
 """
 
 from pydantic import Field, ValidationInfo, field_validator
@@ -10,123 +11,161 @@
 from buckthornstile.settings._common import (
     CommonSettings,
     check_address,
-    make_number,
+    make_number_field,
 )
 
-NO_PORT = "An empty one serves none."
-LEAST_SETTINGS = {
+EMPTY_ADDRESS_NOTE = "Empty for no listener."
+LOWER_BOUND_SETTINGS = {
     "max_timeout": ("default_timeout", "s"),
     "max_append_bytes": ("max_record_bytes", "bytes"),
     "usage_due": ("usage_window", "s"),
 }
-"""Settings that may not be below another one, with the unit of both."""
+"""Settings with another setting as their lower bound, and the unit of both."""
 
 
 class EntrySettings(CommonSettings):
     """Settings of an entry."""
 
     process: ProcessName = Field(
-        description="The process's name, unique in the deployment."
+        description="Name of the process, unique in the deployment."
     )
     failure_domain: FailureDomain = Field(
-        description="The failure domain that its VM is in."
+        description="Failure domain of the process's VM."
+    )
+    store_address: str = Field(
+        description="Address of the platform's store, as NUMBER:PORT."
     )
-    store_address: str = Field(description="The platform's store, as NUMBER:PORT.")
     client_address: str = Field(
         default="",
-        description=f"Where clients of the platform's protocol connect. {NO_PORT}",
+        description=(
+            f"Address for clients of the platform's protocol. {EMPTY_ADDRESS_NOTE}"
+        ),
     )
     ready_address: str = Field(
-        default="", description=f"Where the balancer asks for readiness. {NO_PORT}"
+        default="",
+        description=(
+            f"Address for readiness checks of the load balancer. {EMPTY_ADDRESS_NOTE}"
+        ),
     )
     metrics_address: str = Field(
-        default="", description=f"Where metrics are served. {NO_PORT}"
+        default="",
+        description=f"Address where metrics are served. {EMPTY_ADDRESS_NOTE}",
     )
     peer_address: str = Field(
         default="",
         description=(
-            "Where other entries pass on requests about jobs, needed where more than "
-            "12 entries run, and calls to the store that they cannot reach; port 0 "
-            "takes a free one."
+            "Address to which other entries forward requests about jobs, and calls to "
+            "the store when they cannot reach it. Required if more than 12 entries "
+            "run. Port 0 selects a free port."
         ),
     )
     api_address: str = Field(
         default="",
         description=(
-            f"Where callers, trainers and operators connect; port 0 takes a free "
-            f"one. {NO_PORT}"
+            f"Address for callers, trainers and operators. Port 0 selects a free "
+            f"port. {EMPTY_ADDRESS_NOTE}"
         ),
     )
     duty_address: str = Field(
         default="",
-        description="Where the platform takes usage reports; an empty one gets none.",
+        description="Address to which usage reports are sent. Empty for no reports.",
     )
-    store_parts: int = make_number(
-        1, 1, 1024, "partitions", "Partitions that a topic of the store may have."
+    store_parts: int = make_number_field(
+        1,
+        1,
+        1024,
+        "partitions",
+        "Maximum number of partitions of a topic in the store.",
     )
-    max_record_bytes: int = make_number(
-        256 << 10, 1024, 64 << 20, "bytes", "Longest record that the store takes."
+    max_record_bytes: int = make_number_field(
+        256 << 10, 1024, 64 << 20, "bytes", "Maximum size of a record in the store."
     )
-    max_append_bytes: int = make_number(
-        2 << 20, 4096, 256 << 20, "bytes", "Most that one append to the store takes."
+    max_append_bytes: int = make_number_field(
+        2 << 20, 4096, 256 << 20, "bytes", "Maximum size of one append to the store."
     )
-    heartbeat: float = make_number(
-        1.0, 0.05, 60, "s", "Time between two writes of an upstream to the store."
+    heartbeat: float = make_number_field(
+        1.0,
+        0.05,
+        60,
+        "s",
+        "Interval between two heartbeats of an upstream in the store.",
     )
-    stop_grace: float = make_number(
-        8.0, 0, 3600, "s", "Time between SIGTERM and the platform's SIGKILL."
+    stop_grace: float = make_number_field(
+        8.0, 0, 3600, "s", "Time from SIGTERM until the platform sends SIGKILL."
     )
-    key_bound: float = make_number(
-        5.0, 0.5, 3600, "s", "Time within which a withdrawn key must stop working."
+    key_bound: float = make_number_field(
+        5.0, 0.5, 3600, "s", "Maximum time until a withdrawn key is rejected."
     )
     fails_closed: bool = Field(
         default=True,
-        description="Whether keys are refused that have not been checked in time.",
+        description="Whether keys that were not checked in time are rejected.",
     )
-    turn_bound: float = make_number(
-        3.0, 0.3, 300, "s", "Time in which the lease may not change there and back."
+    turn_bound: float = make_number_field(
+        3.0,
+        0.3,
+        300,
+        "s",
+        "Time within which the lease cannot pass to another process and back.",
     )
-    usage_window: float = make_number(
+    usage_window: float = make_number_field(
         5.0, 0.1, 86_400, "s", "Length of a usage window."
     )
-    usage_due: float = make_number(
-        10.0, 0.1, 86_400, "s", "Time after a window's end until its report is due."
+    usage_due: float = make_number_field(
+        10.0,
+        0.1,
+        86_400,
+        "s",
+        "Time from the end of a usage window until its report is due.",
     )
-    result_lifetime: float = make_number(
-        120.0, 1, 86_400, "s", "Time for which a job's results stay readable."
+    result_lifetime: float = make_number_field(
+        120.0, 1, 86_400, "s", "Time for which the results of a job can be read."
     )
-    cold_overage: float = make_number(
-        1.0, 0.01, 100, "times", "Part of a cold upstream's rate that is used."
+    cold_overage: float = make_number_field(
+        1.0,
+        0.01,
+        100,
+        "times",
+        "Factor applied to the request rate of a cold upstream.",
     )
-    cold_slack: float = make_number(
-        0.0, 0, 10_000, "requests/s", "Requests beyond a cold upstream's rate."
+    cold_slack: float = make_number_field(
+        0.0,
+        0,
+        10_000,
+        "requests/s",
+        "Requests allowed beyond the request rate of a cold upstream.",
     )
-    cold_rate: float = make_number(
+    cold_rate: float = make_number_field(
         0.0,
         0,
         100_000,
         "requests/s",
-        "What a cold upstream bears whose service names no rate; 0 for any number.",
+        "Request rate of a cold upstream whose service sets none. 0 for no limit.",
     )
-    default_timeout: float = make_number(
-        60.0, 0.1, 3600, "s", "Deadline of a call that names none."
+    default_timeout: float = make_number_field(
+        60.0, 0.1, 3600, "s", "Timeout of a call that sets none."
     )
-    max_timeout: float = make_number(
-        600.0, 0.1, 86_400, "s", "Longest deadline that a caller may name."
+    max_timeout: float = make_number_field(
+        600.0, 0.1, 86_400, "s", "Maximum timeout that a caller may set."
     )
-    max_body_bytes: int = make_number(
-        4 << 20, 1024, 256 << 20, "bytes", "Largest body of a call or lot."
+    max_body_bytes: int = make_number_field(
+        4 << 20, 1024, 256 << 20, "bytes", "Maximum size of the body of a call or lot."
     )
-    max_open_calls: int = make_number(
-        2048, 1, 1_000_000, "calls", "Calls that may be open or queued at once."
+    max_open_calls: int = make_number_field(
+        2048, 1, 1_000_000, "calls", "Maximum number of calls open or queued at a time."
     )
-    max_lots: int = make_number(
-        256, 1, 100_000, "lots", "Lots that trainers may follow here at once."
+    max_lots: int = make_number_field(
+        256,
+        1,
+        100_000,
+        "lots",
+        "Maximum number of lots attached to the entry at a time.",
     )
     tls_certificate: str = Field(
-        default="", description="Path of the certificate for api_address."
+        default="", description="Path of the TLS certificate for api_address."
+    )
+    tls_key: str = Field(
+        default="", description="Path of the private key of tls_certificate."
     )
-    tls_key: str = Field(default="", description="Path of the certificate's key.")
 
     @field_validator("process", "failure_domain")
     @classmethod
@@ -151,11 +190,11 @@
 
     @field_validator("max_timeout", "max_append_bytes", "usage_due")
     @classmethod
-    def _check_least(cls, value: float, info: ValidationInfo) -> float:
-        other, unit = LEAST_SETTINGS[str(info.field_name)]
-        least = info.data.get(other)
-        if least is not None and value < least:
-            raise ValueError(f"must be at least {other}, {least} {unit}")
+    def _check_lower_bound(cls, value: float, info: ValidationInfo) -> float:
+        other, unit = LOWER_BOUND_SETTINGS[str(info.field_name)]
+        minimum = info.data.get(other)
+        if minimum is not None and value < minimum:
+            raise ValueError(f"must be at least {other}, {minimum} {unit}")
         return value
 
     @field_validator("tls_key")
--- a/buckthornstile/settings/_load.py
+++ b/buckthornstile/settings/_load.py
@@ -1,4 +1,4 @@
-"""Loads settings and names everything that is wrong with them at once."""
+"""Loads settings and reports all invalid settings in one error."""
 
 import os
 from collections.abc import Mapping
@@ -13,33 +13,36 @@
 from buckthornstile.settings._common import (
     ENVIRONMENT_PREFIX,
     CommonSettings,
-    find_unit,
+    get_unit,
 )
 from buckthornstile.settings._entry import EntrySettings
 from buckthornstile.settings._operator import OperatorSettings
 
 S = TypeVar("S", bound=CommonSettings)
 
-MAX_SHOWN_VALUE = 80
-ROLES: tuple[type[CommonSettings], ...] = (
+MAX_SHOWN_LENGTH = 80
+"""Maximum length of a value in an error text, in characters."""
+SETTINGS_CLASSES: tuple[type[CommonSettings], ...] = (
     EntrySettings,
     OperatorSettings,
 )
 
 
-def load_settings(kind: type[S], flags: Mapping[str, object] | None = None) -> S:
-    """Loads settings: flags over environment variables over defaults.
+def load_settings(
+    settings_class: type[S], flags: Mapping[str, object] | None = None
+) -> S:
+    """Loads settings from flags, environment variables and defaults, in this order.
 
     Args:
-        kind: The settings model.
-        flags: Values given on the command line, by setting name.
+        settings_class: Class of the settings.
+        flags: Values from the command line, by setting name.
 
     Returns:
-        The checked settings.
+        The validated settings.
 
     Raises:
         BuckthornstileError: With ``SETTING_INVALID``; the message has one line
-            for each setting that is wrong.
+            for each invalid setting.
 
     Example:
         >>> load_settings(OperatorSettings, {"store_timeout": "0"})
@@ -49,20 +52,20 @@
     """
     try:
         values: dict[str, Any] = dict(flags or {})
-        return kind(**values)
+        return settings_class(**values)
     except ValidationError as error:
-        lines = [_describe_error(kind, item) for item in error.errors()]
+        lines = [_describe_error(settings_class, item) for item in error.errors()]
     raise BuckthornstileError(ErrorCode.SETTING_INVALID, "\n".join(lines)) from None
 
 
 def describe_settings(settings: CommonSettings) -> dict[str, str]:
-    """Describes settings.
+    """Returns the values of settings as texts, with their units.
 
     Args:
-        settings: The settings.
+        settings: Settings to describe.
 
     Returns:
-        Each setting's value with its unit, by name.
+        Value and unit of each setting, by name.
 
     Example:
         >>> describe_settings(load_settings(OperatorSettings))["store_timeout"]
@@ -71,24 +74,28 @@
     described = {}
     for name, info in type(settings).model_fields.items():
         value = getattr(settings, name)
-        unit = find_unit(info.json_schema_extra)
-        text = _show(value)
-        shows_unit = unit and isinstance(value, int | float)
-        described[name] = f"{text} {unit}" if shows_unit else text
+        unit = get_unit(info.json_schema_extra)
+        text = _format_value(value)
+        has_unit = unit and isinstance(value, int | float)
+        described[name] = f"{text} {unit}" if has_unit else text
     return described
 
 
 def list_unknown_variables() -> tuple[str, ...]:
-    """Lists environment variables with our prefix that no role knows.
+    """Lists environment variables with the prefix that name no setting of any role.
 
     Returns:
-        Their names, sorted.
+        Names of the variables, sorted.
 
     Example:
         >>> "BUCKTHORNSTILE_PROCESS" in list_unknown_variables()
         False
     """
-    known = {name for kind in ROLES for name in kind.model_fields}
+    known = {
+        name
+        for settings_class in SETTINGS_CLASSES
+        for name in settings_class.model_fields
+    }
     return tuple(
         sorted(
             name
@@ -100,13 +107,14 @@
 
 
 def describe_range(info: FieldInfo) -> str:
-    """Describes what values a setting may take, with its unit.
+    """Describes the allowed values of a setting, with its unit.
 
     Args:
-        info: The setting's field.
+        info: Field of the setting.
 
     Returns:
-        A phrase such as ``from 0.05 s to 60 s``, or an empty text.
+        A phrase such as ``from 0.05 s to 60 s``, or an empty string if every value
+        is allowed.
 
     Example:
         >>> describe_range(OperatorSettings.model_fields["wait_timeout"])
@@ -122,7 +130,7 @@
         for key in ("ge", "gt", "le", "min_length", "max_length"):
             if getattr(item, key, None) is not None:
                 bounds[key] = getattr(item, key)
-    unit = find_unit(info.json_schema_extra)
+    unit = get_unit(info.json_schema_extra)
     suffix = f" {unit}" if unit else ""
     if "min_length" in bounds:
         return f"at least {bounds['min_length']}{suffix}"
@@ -135,39 +143,39 @@
     return ""
 
 
-def _describe_error(kind: type[CommonSettings], item: ErrorDetails) -> str:
+def _describe_error(settings_class: type[CommonSettings], item: ErrorDetails) -> str:
     name = str(item["loc"][0]) if item["loc"] else "settings"
-    info = kind.model_fields.get(name)
+    info = settings_class.model_fields.get(name)
     if info is None:
-        return f"{name} is no setting of this command"
+        return f"{name} is not a setting of this command"
     variable = ENVIRONMENT_PREFIX + name.upper()
     allowed = describe_range(info)
     if item["type"] == "missing":
         expected = f" ({allowed})" if allowed else ""
         return f"{name} is not set; give --{name} or {variable}{expected}"
-    shown = _show_input(item["input"])
+    formatted = _format_input(item["input"])
     if item["type"] == "value_error":
         reason = str(item["ctx"]["error"])
         is_sentence = reason.startswith(name)
-        return reason if is_sentence else f"{name} is {shown}; it {reason}"
-    unit = find_unit(info.json_schema_extra)
-    expected = allowed or (f"{_name_type(info)}" + (f" in {unit}" if unit else ""))
-    return f"{name} is {shown}; it must be {expected}"
+        return reason if is_sentence else f"{name} is {formatted}; it {reason}"
+    unit = get_unit(info.json_schema_extra)
+    expected = allowed or (f"{_describe_type(info)}" + (f" in {unit}" if unit else ""))
+    return f"{name} is {formatted}; it must be {expected}"
 
 
-def _name_type(info: FieldInfo) -> str:
-    names = {int: "a whole number", float: "a number", str: "a text"}
-    return names.get(info.annotation, "valid")  # type: ignore[arg-type]
+def _describe_type(info: FieldInfo) -> str:
+    descriptions = {int: "an integer", float: "a number", str: "a string"}
+    return descriptions.get(info.annotation, "valid")  # type: ignore[arg-type]
 
 
-def _show_input(value: object) -> str:
+def _format_input(value: object) -> str:
     text = repr(value)
-    if len(text) > MAX_SHOWN_VALUE:
-        return text[:MAX_SHOWN_VALUE] + "…"
+    if len(text) > MAX_SHOWN_LENGTH:
+        return text[:MAX_SHOWN_LENGTH] + "…"
     return text
 
 
-def _show(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, Enum):
         return str(value.value)
     return str(value)
--- a/buckthornstile/settings/_operator.py
+++ b/buckthornstile/settings/_operator.py
@@ -1,4 +1,4 @@
-"""The settings of the operators' commands."""
+"""Settings of the operators' commands."""
 
 from pydantic import Field, field_validator
 
@@ -6,7 +6,7 @@
     CommonSettings,
     check_address,
     check_url,
-    make_number,
+    make_number_field,
 )
 
 
@@ -15,22 +15,25 @@
 
     store_address: str = Field(
         default="",
-        description="The platform's store, as NUMBER:PORT; for what reads it.",
+        description=(
+            "Address of the platform's store, as NUMBER:PORT, for commands that use "
+            "the store."
+        ),
     )
-    store_timeout: float = make_number(
-        2.0, 0.05, 60, "s", "Time after which a call to the store is unanswered."
+    store_timeout: float = make_number_field(
+        2.0, 0.05, 60, "s", "Timeout of a call to the store."
     )
     entries: str = Field(
         default="",
-        description="Base URLs of entries to ask, separated by commas.",
+        description="Base URLs of the entries to query, separated by commas.",
     )
-    wait_timeout: float = make_number(
-        10.0, 0, 600, "s", "Time to wait until a change is in force on the entries."
+    wait_timeout: float = make_number_field(
+        10.0, 0, 600, "s", "Time to wait until a change is in effect on the entries."
     )
     operator: str = Field(
         default="",
         max_length=128,
-        description="Who makes the change, for the history.",
+        description="Name of the operator, recorded in the change history.",
         json_schema_extra={"unit": "characters"},
     )
 
@@ -46,7 +49,7 @@
         return ",".join(check_url(url) for url in urls)
 
     def list_entries(self) -> tuple[str, ...]:
-        """Lists the base URLs of the entries.
+        """Returns the base URLs of the entries.
 
         Example:
             >>> OperatorSettings(entries="http://127.0.0.2:2").list_entries()
--- a/buckthornstile/settings/tests/test_settings.py
+++ b/buckthornstile/settings/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: order of sources, all errors at once, the page."""
+"""Tests of the settings: order of sources, error texts and reference page."""
 
 import pathlib
 
@@ -14,29 +14,29 @@
     render_settings_page,
 )
 
-ENTRY = {
+ENTRY_FLAGS = {
     "process": "entry-1",
     "failure_domain": "bench-a",
     "store_address": "127.0.0.1:7000",
 }
 
 
-def read_errors(kind, flags):
+def load_invalid_settings(settings_class, flags):
     with pytest.raises(BuckthornstileError) as caught:
-        load_settings(kind, flags)
+        load_settings(settings_class, flags)
     assert caught.value.code is ErrorCode.SETTING_INVALID
     return caught.value.message.splitlines()
 
 
-def test_a_flag_goes_over_a_variable_and_that_over_the_default(monkeypatch):
-    assert load_settings(EntrySettings, ENTRY).heartbeat == 1.0
+def test_flag_overrides_variable_and_variable_overrides_default(monkeypatch):
+    assert load_settings(EntrySettings, ENTRY_FLAGS).heartbeat == 1.0
     monkeypatch.setenv("BUCKTHORNSTILE_HEARTBEAT", "0.5")
-    assert load_settings(EntrySettings, ENTRY).heartbeat == 0.5
-    flags = ENTRY | {"heartbeat": "0.25"}
+    assert load_settings(EntrySettings, ENTRY_FLAGS).heartbeat == 0.5
+    flags = ENTRY_FLAGS | {"heartbeat": "0.25"}
     assert load_settings(EntrySettings, flags).heartbeat == 0.25
 
 
-def test_all_errors_are_named_at_once(monkeypatch):
+def test_all_invalid_settings_are_reported_at_once(monkeypatch):
     monkeypatch.setenv("BUCKTHORNSTILE_MAX_BODY_BYTES", "9")
     flags = {
         "process": "two words",
@@ -49,9 +49,9 @@
         "fails_closed": "perhaps",
         "colour": "red",
     }
-    lines = read_errors(EntrySettings, flags)
-    named = {line.split()[0] for line in lines}
-    assert named == (flags.keys() - {"usage_window"}) | {
+    lines = load_invalid_settings(EntrySettings, flags)
+    reported = {line.split()[0] for line in lines}
+    assert reported == (flags.keys() - {"usage_window"}) | {
         "failure_domain",
         "max_body_bytes",
     }
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "flags"),
+    ("settings_class", "flags"),
     [
         (EntrySettings, {"store_address": ""}),
         (EntrySettings, {"client_address": "entry:80"}),
@@ -74,23 +74,23 @@
         (OperatorSettings, {"store_address": "http://127.0.0.1:1"}),
     ],
 )
-def test_settings_that_are_wrong_or_contradict_each_other_are_refused(kind, flags):
-    base = ENTRY if kind is EntrySettings else {}
-    load_settings(kind, base)
-    assert len(read_errors(kind, base | flags)) == 1
+def test_invalid_or_contradictory_settings_are_rejected(settings_class, flags):
+    base = ENTRY_FLAGS if settings_class is EntrySettings else {}
+    load_settings(settings_class, base)
+    assert len(load_invalid_settings(settings_class, base | flags)) == 1
 
 
-def test_a_description_shows_units():
-    described = describe_settings(load_settings(EntrySettings, ENTRY))
+def test_described_setting_has_its_unit():
+    described = describe_settings(load_settings(EntrySettings, ENTRY_FLAGS))
     assert described["stop_grace"] == "8.0 s"
 
 
-def test_a_misspelt_variable_is_found(monkeypatch):
+def test_misspelt_variable_is_listed_as_unknown(monkeypatch):
     monkeypatch.setenv("BUCKTHORNSTILE_PROCES", "entry-1")
     assert list_unknown_variables() == ("BUCKTHORNSTILE_PROCES",)
 
 
-def test_the_page_is_up_to_date():
+def test_reference_page_is_up_to_date():
     root = pathlib.Path(__file__).parents[3]
     page = (root / "docs" / "SETTINGS.md").read_text(encoding="utf-8")
     assert page == render_settings_page()
