--- a/buckthornstile/client/_caller.py
+++ b/buckthornstile/client/_caller.py
@@ -115,8 +115,8 @@
             The response of the upstream, with any status.
 
         Raises:
-            BuckthornstileError: With the code of the last attempt and the most severe
-                verdict of all attempts.
+            BuckthornstileError: With a code and the most severe verdict of all
+                attempts.
         """
         key = _get_idempotency_key(idempotency_key)
         call = _Call(method, path, body, content_type, key)
--- a/buckthornstile/client/tests/test_trainer.py
+++ b/buckthornstile/client/tests/test_trainer.py
@@ -55,7 +55,10 @@
 
 
 def make_responder(make_parts):
-    """Returns a function that responds to lots with make_parts, and 200 otherwise."""
+    """Returns a respond function that streams the parts of a lot from make_parts.
+
+    Every other request gets the response 200.
+    """
 
     def respond(path, headers, body):
         if path != "/v1/lots":
@@ -66,7 +69,7 @@
     return respond
 
 
-def send_missing_samples(attach):
+def make_missing_parts(attach):
     """Returns a heartbeat, the samples that the trainer lacks and the end line."""
     received = {index for _, index in attach["received"]}
     missing = [make_line(n) for n in range(4) if n not in received]
@@ -89,7 +92,7 @@
 def test_each_sample_is_yielded_once_after_entry_fault(fault):
     """Guards against lost and duplicate samples after a fault of the first entry."""
     client, samples, requests = asyncio.run(
-        run_lot([lambda _: FAULTS[fault], send_missing_samples])
+        run_lot([lambda _: FAULTS[fault], make_missing_parts])
     )
     assert sorted(s.text for s in samples) == [f"sample {n}" for n in range(4)]
     attaches = [json.loads(body) for path, _, body in requests if path == "/v1/lots"]
@@ -110,5 +113,5 @@
 def test_withdrawn_key_ends_lot_with_its_error_code():
     error_line = encode_line(ErrorLine(code=ErrorCode.KEY_WITHDRAWN))
     with pytest.raises(BuckthornstileError) as caught:
-        asyncio.run(run_lot([lambda _: [error_line], send_missing_samples]))
+        asyncio.run(run_lot([lambda _: [error_line], make_missing_parts]))
     assert caught.value.code is ErrorCode.KEY_WITHDRAWN
--- a/buckthornstile/settings/_load.py
+++ b/buckthornstile/settings/_load.py
@@ -113,8 +113,8 @@
         info: Field of the setting.
 
     Returns:
-        A phrase such as ``from 0.05 s to 60 s``, or an empty string if every value
-        is allowed.
+        A phrase such as ``from 0.05 s to 60 s``, or an empty string for a field
+        without bounds and choices.
 
     Example:
         >>> describe_range(OperatorSettings.model_fields["wait_timeout"])
