--- a/buckthornstile/duties/_lease.py
+++ b/buckthornstile/duties/_lease.py
@@ -23,7 +23,10 @@
 VALIDITY_FRACTION = 0.35
 """Fraction of the turn bound for which a renewal lets its holder act."""
 RENEWAL_INTERVAL_FRACTION = 0.14
-"""Fraction of the turn bound between renewals; the lease survives two that fail."""
+"""Fraction of the turn bound from a renewal until the next one is due.
+
+The lease outlasts two of these intervals, so that a failed renewal can be retried.
+"""
 
 
 @dataclass(frozen=True, slots=True)
--- a/buckthornstile/duties/_model_loads.py
+++ b/buckthornstile/duties/_model_loads.py
@@ -24,6 +24,8 @@
 REPLICA_FACTOR = 2.0
 """Number of engines that a model uses, as a multiple of its even share of engines.
 
+The even share is the number of engines of the service divided by that of its models.
+
 With 2.0, each of them loads every second version, so the model causes as many loads
 as if its even share of engines loaded every version.
 """
@@ -70,9 +72,10 @@
 class ModelLoadPlanner:
     """Plans the model loads that the lease holder orders.
 
-    Engines of a model that are two or more versions behind load without delay.
-    Engines that are one version behind load only while the model has credit: a new
-    target version adds its even share of engines, and each accepted load costs 1.
+    Engines that are two or more versions behind a model's target version load it
+    whether or not the model has credit. Engines that are one version behind load only
+    while the model has credit: a new target version adds the model's even share of
+    engines (see ``REPLICA_FACTOR``), and each accepted load costs 1.
 
     Args:
         view: The topology in effect.
@@ -126,7 +129,7 @@
         self._credit[load.model] = self._credit.get(load.model, 0.0) - 1
 
     def record_already_loaded(self, load: PlannedModelLoad) -> None:
-        """Records that an engine has loaded a version already."""
+        """Records that an engine refused an order because it has loaded the version."""
         engine, _ = self._find_engine(load.upstream)
         if engine is not None:
             engine.versions[load.model] = load.version
--- a/buckthornstile/duties/_usage.py
+++ b/buckthornstile/duties/_usage.py
@@ -9,9 +9,9 @@
 RETAINED_PAST_WINDOWS = 4
 """Number of windows before the current one whose counts a process publishes."""
 COUNT_WAIT_FRACTION = 0.6
-"""Fraction of the report timeout for which a window waits for missing counts."""
+"""Maximum fraction of the report timeout for which a window waits for counts."""
 SEAL_DELAY_SECONDS = 2.2
-"""Seconds from a window's end until it is sealed, so that its last counts arrive."""
+"""Minimum seconds from a window's end to its seal, so that its last counts arrive."""
 
 
 class UsageCounter:
@@ -74,9 +74,11 @@
     ) -> None:
         """Records a process's counts, which replace its earlier ones.
 
+        Windows more than 10 before the newest one are dropped.
+
         Args:
             process: The process.
-            counts: Its counts, by window and account.
+            counts: Its counts, by window number and account.
             counted_at: Time of the counts on its clock, in seconds since the epoch.
         """
         if counted_at < self._counted_at.get(process, -inf):
@@ -110,7 +112,7 @@
         timeout, so that time is left to report it.
 
         Args:
-            seals: The seals of the windows that are sealed.
+            seals: The existing seals by window number.
             wall_time: Seconds since the epoch.
             report_timeout: Seconds after a window's end within which the window can
                 still be reported.
--- a/buckthornstile/jobs/_records.py
+++ b/buckthornstile/jobs/_records.py
@@ -28,7 +28,7 @@
 SPECIFICATION, OWNER, RESULT, END, PROGRESS = "s", "o", "r", "e", "p"
 KINDS = frozenset({SPECIFICATION, OWNER, RESULT, END, PROGRESS})
 MAX_KEY_BYTES = 256
-"""Maximum bytes of a record that its key takes; the value gets the remaining bytes."""
+"""Bytes of a record that are reserved for its key."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordKey:
-    """The parsed key of a record."""
+    """The parsed key of a record.
+
+    ``chunk_index`` of a progress record is the number of its first event.
+    """
 
     kind: str
     job: JobId
@@ -62,18 +65,18 @@
     """Parses the key of a record.
 
     Raises:
-        ValueError: The key is not that of a batch job's record.
+        ValueError: The key is not the key of a batch job record.
 
     Example:
         >>> parse_key("r/j1/i1/0.1").item
         'i1'
     """
-    words = key.split("/")
-    if len(words) != 4 or words[0] not in KINDS:
+    parts = key.split("/")
+    if len(parts) != 4 or parts[0] not in KINDS:
         raise ValueError(f"key {key!r} is not the key of a batch job record")
-    index, _, count = words[3].partition(".")
-    item = ItemId(words[2]) if words[2] else None
-    return RecordKey(words[0], JobId(words[1]), item, int(index), int(count))
+    index, _, count = parts[3].partition(".")
+    item = ItemId(parts[2]) if parts[2] else None
+    return RecordKey(parts[0], JobId(parts[1]), item, int(index), int(count))
 
 
 def _split(prefix: str, value: bytes, chunk_bytes: int) -> Iterator[JobRecord]:
@@ -177,7 +180,14 @@
 def encode_progress(
     job: JobId, item: ItemId, first: int, events: Sequence[StreamEvent]
 ) -> JobRecord:
-    """Encodes generated events of an item; ``first`` is the number of the first."""
+    """Encodes events that an item has generated.
+
+    Args:
+        job: Id of the job.
+        item: Id of the item.
+        first: Number of the first event, counted from 0.
+        events: The events, which are consecutive.
+    """
     data = [[event.id, event.data, event.version] for event in events]
     key = f"{PROGRESS}/{job}/{item}/{first}.1"
     return JobRecord(key, json.dumps(data).encode())
@@ -201,5 +211,5 @@
 
 
 def encode_end(job: JobId) -> JobRecord:
-    """Encodes the record that a client ended its batch job."""
+    """Encodes the record that ends a batch job before all items have a result."""
     return JobRecord(f"{END}/{job}//0.1", b"1")
--- a/buckthornstile/jobs/_table.py
+++ b/buckthornstile/jobs/_table.py
@@ -97,7 +97,7 @@
         return max(minimum, self.specification.time_limit)
 
     def is_finished(self) -> bool:
-        """Whether every item has a result or the client ended the job."""
+        """Whether every item has a result or the job was ended early."""
         return self.ended or len(self.results) >= len(self.items)
 
 
@@ -160,7 +160,7 @@
             wall_time: Seconds since the epoch.
 
         Raises:
-            ValueError: The key is not that of a batch job's record.
+            ValueError: The key is not the key of a batch job record.
         """
         parsed = parse_key(key)
         if value is None:
--- a/buckthornstile/jobs/_types.py
+++ b/buckthornstile/jobs/_types.py
@@ -26,7 +26,7 @@
     """One request of a batch job.
 
     ``headers`` are sent to the upstream unchanged. ``expected_tokens`` is the client's
-    estimate of the number of tokens that the request generates, or 0.
+    estimate of the number of tokens that the request generates, or 0 if unknown.
     """
 
     id: ItemId
--- a/buckthornstile/jobs/tests/test_table.py
+++ b/buckthornstile/jobs/tests/test_table.py
@@ -103,8 +103,8 @@
         f"i{number}" for number in order
     ]
     # The other reader starts with the newest record of each key and then reads the
-    # rest of the log. Each result is stored once, so the newest records of results
-    # are in the order of the log.
+    # rest of the log. Its log has no repeated results: a repeat would be the newest
+    # record of its key and would move the result behind later ones.
     stored = make_log(list(order))
     start = min(start, len(stored))
     newest: dict[str, tuple[int, bytes]] = {}
