--- a/buckthornstile/queueing/_account_queue.py
+++ b/buckthornstile/queueing/_account_queue.py
@@ -11,6 +11,9 @@
 class AccountQueue:
     """The items of one account in service order, and the account's start tag.
 
+    The start tag is the virtual time at which the account's next item is due, as
+    start-time fair queueing defines it. The account with the lowest tag is served next.
+
     Args:
         request_class: The request class of the items.
 
--- a/buckthornstile/queueing/_fair_queue.py
+++ b/buckthornstile/queueing/_fair_queue.py
@@ -32,7 +32,10 @@
 
 
 class _AccountTags:
-    """Start tags of accounts across all classes, which show who exceeds its share."""
+    """Start tags of accounts across all classes.
+
+    An account whose tag is ahead of virtual time has received more than its share.
+    """
 
     def __init__(self, burst_tokens: float, max_catch_up_tokens: float) -> None:
         self.burst_tokens = burst_tokens
@@ -43,7 +46,7 @@
 
     def activate(self, account: AccountId) -> None:
         # An account that received less than its share before, such as a trainer
-        # between two lots, may catch up on a bounded amount of work.
+        # between two lots, may catch up by a limited amount of work.
         tag = max(
             self._tags.get(account, 0.0), self.virtual_time - self.max_catch_up_tokens
         )
@@ -126,14 +129,15 @@
             _, sequence, account = heappop(self._deferred)
             account_queue = self.account_queues.get(account)
             if account_queue is not None and account_queue.items:
-                # It must not catch up at once on work that was deferred as a penalty.
+                # The account must not catch up on the service that it missed while
+                # it was deferred.
                 account_queue.start_tag = max(
                     account_queue.start_tag, self.virtual_time
                 )
                 self.activate(account_queue, account, sequence)
 
     def discard_idle(self) -> None:
-        """Removes idle accounts that were not served ahead of their share."""
+        """Removes idle accounts whose start tag is not ahead of virtual time."""
         for account in [
             account
             for account, account_queue in self.account_queues.items()
@@ -148,8 +152,9 @@
     Classes are served in the order of :class:`RequestClass`. A lower class that has
     items earns ``min_class_share`` tokens for each token of work served in a higher
     class, and is served as soon as it has earned the cost of its next item. Within a
-    class, start-time fair queueing keeps any two accounts that both have items within
-    one largest item each of their weighted shares.
+    class, start-time fair queueing bounds unfairness: while two accounts both have
+    items, the amounts of work they receive, each divided by the account's weight,
+    differ by at most one largest item of each account.
 
     Interactive requests of an account take precedence only while the account is within
     its share of all work. They are deferred while the account is more than
@@ -157,8 +162,10 @@
     least work. A flood of interactive requests therefore does not starve the lower
     classes of other accounts.
 
-    Each operation takes O(log n), except a push into a full queue, which is linear in
-    the number of waiting accounts.
+    Pushes and pops take amortised O(log n). A push is linear in the number of accounts
+    if the account is new to its class or the queue is full; a push into a full queue is
+    also linear in the items of the account from which an item is evicted. The total
+    cost and the estimates are linear in the number of accounts.
 
     Args:
         max_items: Maximum number of queued items.
--- a/buckthornstile/queueing/tests/fairness.feature
+++ b/buckthornstile/queueing/tests/fairness.feature
@@ -15,10 +15,10 @@
 
   Scenario Outline: Trainer requests take precedence over background requests
     Given an upstream with a queue of type <queue>
-    And trainer corrections and stock checks that each exceed the upstream's capacity
+    And trainer requests and background requests that each exceed the upstream's capacity
     When the upstream serves requests for 120 seconds
-    Then the corrections get at least 0.9 of the work: <first>
-    And the stock checks get at least 0.04 of the work: <minimum>
+    Then the trainer requests get at least 0.9 of the work: <first>
+    And the background requests get at least 0.04 of the work: <minimum>
 
     Examples:
       | queue            | first | minimum |
@@ -28,14 +28,14 @@
 
   Scenario Outline: A flood of interactive requests leaves other accounts their share
     Given an upstream with a queue of type <queue>
-    And trainer corrections at half the upstream's capacity, and a flood of interactive requests
+    And trainer requests at half the upstream's capacity, and a flood of interactive requests
     When the upstream serves requests for 240 seconds
     Then every account gets at least 0.9 of its fair share: <fair>
 
     Examples:
-      | queue         | fair |
-      | fair          | yes  |
-      | class-ordered | no   |
+      | queue           | fair |
+      | fair            | yes  |
+      | unlimited burst | no   |
 
   Scenario: The lot with the least slack is served first
     Given an upstream with a queue of type fair
--- a/buckthornstile/queueing/tests/test_fairness.py
+++ b/buckthornstile/queueing/tests/test_fairness.py
@@ -1,4 +1,4 @@
-"""Shares of accounts and classes on a virtual clock, with the fair queue and others."""
+"""Steps of ``fairness.feature``, which simulate one upstream on a virtual clock."""
 
 from collections import defaultdict, deque
 from math import inf
@@ -37,7 +37,7 @@
 @given(
     parsers.re(
         r"an upstream with a queue of type "
-        r"(?P<queue>fair|FIFO|no minimum share|class-ordered)"
+        r"(?P<queue>fair|FIFO|no minimum share|unlimited burst)"
     )
 )
 def make_queue(scenario, queue):
@@ -47,7 +47,7 @@
         "fair": lambda: FairQueue(**limits),
         "FIFO": FIFOQueue,
         "no minimum share": lambda: FairQueue(**limits, min_class_share=0.0),
-        "class-ordered": lambda: FairQueue(**{**limits, "burst_tokens": inf}),
+        "unlimited burst": lambda: FairQueue(**{**limits, "burst_tokens": inf}),
     }[queue]()
 
 
@@ -61,7 +61,9 @@
         scenario["sources"].append((f"a{number}", RequestClass.INTERACTIVE, rate))
 
 
-@given("trainer corrections and stock checks that each exceed the upstream's capacity")
+@given(
+    "trainer requests and background requests that each exceed the upstream's capacity"
+)
 def add_classes(scenario):
     scenario["sources"] = [
         ("corrections", RequestClass.TRAINER, 1.5 * TOKENS_PER_SECOND),
@@ -70,7 +72,7 @@
 
 
 @given(
-    "trainer corrections at half the upstream's capacity, "
+    "trainer requests at half the upstream's capacity, "
     "and a flood of interactive requests"
 )
 def add_interactive_flood(scenario):
@@ -118,7 +120,7 @@
 
 @then(parsers.parse("the {name} get at least {share:g} of the work: {expected}"))
 def check_class_share(scenario, name, share, expected):
-    account = {"corrections": "corrections", "stock checks": "stock"}[name]
+    account = {"trainer requests": "corrections", "background requests": "stock"}[name]
     served_share = scenario["served"][account] / sum(scenario["served"].values())
     assert (served_share >= share) == (expected == "yes"), served_share
 
