--- a/buckthornstile/samples/_lines.py
+++ b/buckthornstile/samples/_lines.py
@@ -60,14 +60,14 @@
     """Last line of a lot, sent after all its samples have been delivered.
 
     Args:
-        delivered: Number of the lot's samples.
+        delivered: Number of delivered samples.
     """
 
     delivered: int
 
 
 class ErrorLine(_BaseLine):
-    """Error by which the lot failed at this entry.
+    """Error with which the lot failed at this entry.
 
     Args:
         code: The error code.
--- a/buckthornstile/samples/_receiver.py
+++ b/buckthornstile/samples/_receiver.py
@@ -42,7 +42,7 @@
 
 
 class SampleReceiver:
-    """Validates the samples of a lot, removes duplicates and numbers the attaches.
+    """Validates the samples of a lot, removes duplicates and numbers attach requests.
 
     Args:
         specification: The lot.
--- a/buckthornstile/samples/_specification.py
+++ b/buckthornstile/samples/_specification.py
@@ -51,7 +51,7 @@
 
     @property
     def prefix_hash(self) -> str:
-        """Hash of the prompt, by which the group's samples prefer one upstream.
+        """Hash of the prompt that all samples of the group share.
 
         Example:
             >>> GroupSpecification(prompt="a", samples=1).prefix_hash
@@ -147,7 +147,7 @@
 
 
 def hash_prefix(prompt: str) -> str:
-    """Returns the hash of a prompt, which prefix affinity uses.
+    """Returns the hash that identifies a prompt in the prefix caches of engines.
 
     Args:
         prompt: The prompt.
--- a/buckthornstile/topology/_types.py
+++ b/buckthornstile/topology/_types.py
@@ -1,4 +1,4 @@
-"""Types for the operators' configuration and for the upstreams' own reports."""
+"""Types for the operators' configuration and for the upstreams' records."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -33,14 +33,14 @@
 
     Args:
         name: The route's name.
-        host: The host that requests name.
+        host: Host name to which the requests are sent.
         path_prefix: Prefix of the paths that the route serves.
         kind: How its requests may be executed.
         services: The services, each with its share of the requests.
         timeout: Time limit of a request, in seconds.
         target_latency: Expected latency of a request, in seconds; the delay of a hedged
             attempt is a fraction of it.
-        priority: Priority of the requests.
+        priority: Priority of the requests; a lower number is more urgent.
         max_attempts: Number of attempts that a request may have.
         allows_anonymous: Whether requests need no key.
         is_streaming: Whether responses are streams.
@@ -121,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Upstream:
-    """An upstream as described by its last entry in the store.
+    """An upstream as described by its last record in the store.
 
     Args:
         id: The upstream's id.
@@ -134,7 +134,7 @@
         cold_remaining: Time for which it is still cold, in seconds.
         started_at_ms: Time of its start, in milliseconds since the epoch. The same id
             with another start time is another incarnation.
-        sequence: Number of the entry, counted since the start.
+        sequence: Number of the record, counted since the start.
         versions: Weight version of each model that it holds.
     """
 
--- a/buckthornstile/topology/_view.py
+++ b/buckthornstile/topology/_view.py
@@ -13,10 +13,10 @@
 )
 
 API_HOST = ""
-"""Host of the routes of the product's own API. Their path prefix is a name that cannot
-be the path of a client's request."""
+"""Host of the routes of the product's own API. Their path prefix is the name of a rule
+instead of a path."""
 EXPIRY_GRACE = 2.0
-"""Seconds after the store's return within which upstreams renew expired entries."""
+"""Seconds after a store outage within which upstreams renew expired records."""
 MAX_WRITE_DELAY = 6.0
 """Seconds within which the store may still execute a write that got no response."""
 MIN_REJOIN_INTERVAL = 0.5
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class _LastWrite:
-    """The last write of an upstream, kept after its entry has been removed."""
+    """The last write of an upstream, kept after its record has been removed."""
 
     started_at_ms: int
     sequence: int
@@ -111,14 +111,14 @@
         return True
 
     def apply_upstream(self, upstream: Upstream, now: float) -> bool:
-        """Records an upstream's entry.
+        """Applies an upstream's record.
 
         Returns:
-            False if the entry is older than the last one, or is the first after a
-            removal. Such an entry may come from a write that the store executed
-            late.
+            Whether the record was applied. A record that is older than the last one,
+            or that follows a removal, may come from a write that the store executed
+            late, and is ignored until the upstream is known to be live.
         """
-        if not self._is_newest(upstream, now):
+        if not self._accept_write(upstream, now):
             return False
         self._expiring.pop(upstream.id, None)
         self.upstreams[upstream.id] = upstream
@@ -128,7 +128,7 @@
             self._cold_until.pop(upstream.id, None)
         return True
 
-    def _is_newest(self, upstream: Upstream, now: float) -> bool:
+    def _accept_write(self, upstream: Upstream, now: float) -> bool:
         last_write = self._last_writes.get(upstream.id)
         if last_write is None or upstream.started_at_ms > last_write.started_at_ms:
             self._last_writes[upstream.id] = _LastWrite(
@@ -165,10 +165,10 @@
         """Removes an upstream.
 
         Args:
-            upstream_id: The upstream whose entry was removed.
+            upstream_id: The upstream whose record was removed.
             now: The current time, in seconds.
             until: Time until which the upstream stays in use, in seconds, for an
-                entry that may have expired only because the store was unavailable.
+                record that may have expired only because the store was unavailable.
                 0 removes it at once.
         """
         if until and upstream_id in self.upstreams:
@@ -222,7 +222,7 @@
         started_at_ms: int,
         versions: Mapping[ModelName, int],
     ) -> None:
-        """Records versions that an engine holds before its own entry lists them."""
+        """Stores versions that an engine holds before its own record lists them."""
         known_start, known = self._seen_versions.get(upstream_id, (started_at_ms, {}))
         if known_start != started_at_ms:
             known = {}
@@ -245,8 +245,7 @@
     def find_route(self, host: str, path: str) -> Route | None:
         """Returns the route with the longest path prefix that matches the path.
 
-        For the host ``API_HOST``, the path is the name of a route of the product's
-        own API.
+        For the host ``API_HOST``, the path is the name of the rule of a route.
         """
         if host == API_HOST:
             return self._api_routes.get(path)
@@ -271,7 +270,7 @@
         ]
 
     def get_models_by_service(self) -> dict[ServiceName, tuple[ModelName, ...]]:
-        """Returns the models of each service whose upstreams hold models.
+        """Returns the models of each service that has any.
 
         The models of a service that is not configured are those that its upstreams
         hold.
--- a/buckthornstile/topology/tests/test_view.py
+++ b/buckthornstile/topology/tests/test_view.py
@@ -1,4 +1,4 @@
-"""Tests of the view with delayed, expired and renewed entries of upstreams."""
+"""Tests of the view with delayed, expired and renewed records of upstreams."""
 
 from buckthornstile.topology import (
     PlatformConfiguration,
@@ -68,7 +68,7 @@
     assert view.apply_upstream(make_upstream(8, started_at_ms=0), 7.0)
 
 
-def test_expired_entry_is_kept_until_removal_and_restored_at_once() -> None:
+def test_expired_record_is_kept_until_removal_and_restored_at_once() -> None:
     view = TopologyView()
     view.apply_upstream(make_upstream(5), 0.0)
     view.remove_upstream("w1", 1.0, until=3.0)
