--- a/buckthornstile/configuration/_change.py
+++ b/buckthornstile/configuration/_change.py
@@ -27,7 +27,7 @@
 )
 
 MAX_CONFIGURATION_BYTES = 900_000
-"""Maximum bytes of all items together, so that a whole sheet fits into one append."""
+"""Maximum bytes of all items together, so that they fit into one append."""
 
 MAX_PATH_LENGTH = 512
 """Maximum characters of a path."""
--- a/buckthornstile/configuration/_items.py
+++ b/buckthornstile/configuration/_items.py
@@ -27,7 +27,7 @@
 
     Args:
         name: The account's id.
-        weight: Its share of contended upstreams, relative to other accounts.
+        weight: Its share of an overloaded upstream, relative to other accounts.
         maximum_open: Maximum number of open requests at one entry; more are refused.
 
     Example:
@@ -70,7 +70,7 @@
         service: The service that serves it.
         account: The client account that its usage is billed to.
         request_class: Class of the requests, which determines their order of service.
-        idempotent: Whether its calls may be executed more than once.
+        idempotent: Whether its requests may be executed more than once.
 
     Example:
         >>> OpenRoute(name="/v1/hours", service="shop-desk", account="open").idempotent
@@ -86,7 +86,7 @@
 
 
 class Rule(_Item):
-    """The service for the requests of a caller or trainer on a path.
+    """Assigns requests to a service by path, client account and trainer.
 
     The most specific rule applies: the one with the longest path, then one for a
     named account, then one for a named trainer.
@@ -98,7 +98,7 @@
         trainer: The trainer, or ``*`` for any.
         service: The service that serves the requests.
         request_class: Class of the requests, which determines their order of service.
-        idempotent: Whether its calls may be executed more than once.
+        idempotent: Whether its requests may be executed more than once.
         maximum_age: Number of weight versions by which a sample may be behind its
             trainer.
 
--- a/buckthornstile/configuration/_model.py
+++ b/buckthornstile/configuration/_model.py
@@ -23,6 +23,7 @@
 )
 
 RuleIndex = Mapping[str, Mapping[tuple[str, str], Rule]]
+"""Rules by normalised path, then by account and trainer."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/buckthornstile/configuration/_records.py
+++ b/buckthornstile/configuration/_records.py
@@ -22,6 +22,7 @@
 ITEM_PREFIX = "item/"
 CHANGE_PREFIX = "change/"
 KEY_DIGEST_BYTES = 16
+"""Bytes of the digest of an item's name in the key of its record."""
 _ITEM: TypeAdapter[ConfigurationItem] = TypeAdapter(ConfigurationItem)
 
 
--- a/buckthornstile/configuration/tests/test_withdrawal.py
+++ b/buckthornstile/configuration/tests/test_withdrawal.py
@@ -84,7 +84,7 @@
     digest = hash_api_key("another")
     rule = Rule(name="r1", path="/v1", service="s")
     attempts = {
-        "put the key in effect again": [key],
+        "restore the key": [key],
         "add the key under another name": [key.model_copy(update={"name": "k2"})],
         "move the key to another account": [
             key.model_copy(update={"account": "mill-8"})
@@ -102,13 +102,13 @@
             rule,
             rule.model_copy(update={"name": "r2", "path": "/v1/"}),
         ],
-        "put an item twice": [Drain(name="bench-a"), Drain(name="bench-a")],
-        "add an account with the name that matches any": [Account(name="*")],
+        "put the same item twice": [Drain(name="bench-a"), Drain(name="bench-a")],
+        "add an account with the reserved name": [Account(name="*")],
         "add a reason that is too long": [Drain(name="bench-a", reason="x" * 10_000)],
     }
     removals = {
         "remove the key": ItemReference(kind="key", name=key.name),
-        "remove the account of a working key": ItemReference(
+        "remove the account of a key that is not withdrawn": ItemReference(
             kind="account", name="mill-7"
         ),
         "remove an item that does not exist": ItemReference(
@@ -139,7 +139,7 @@
     assert context.current is context.before
 
 
-@then("every reader knows the key as withdrawn")
+@then("every reader treats the key as withdrawn")
 def _(context):
     new_reader = TopicReader(context.store)
     new_reader.read()
--- a/buckthornstile/configuration/tests/withdrawal.feature
+++ b/buckthornstile/configuration/tests/withdrawal.feature
@@ -1,9 +1,9 @@
 Feature: A withdrawn key stops working
 
-  Scenario: Every process that reads a withdrawal knows the key as withdrawn
+  Scenario: Every process that reads a withdrawal treats the key as withdrawn
     Given client account "mill-7" has a key
     When operators withdraw the key
-    Then every reader knows the key as withdrawn
+    Then every reader treats the key as withdrawn
 
   Scenario Outline: A withdrawn key cannot be restored
     Given client account "mill-7" has a key
@@ -14,7 +14,7 @@
 
     Examples:
       | attempt                            |
-      | put the key in effect again        |
+      | restore the key                    |
       | add the key under another name     |
       | move the key to another account    |
       | replace the key's digest           |
@@ -28,12 +28,12 @@
 
     Examples:
       | attempt                                            |
-      | remove the account of a working key                |
+      | remove the account of a key that is not withdrawn  |
       | add a rule for an unknown account                  |
       | add an open route for an unknown account           |
       | add two rules for the same callers                 |
       | remove an item that does not exist                 |
-      | put an item twice                                  |
-      | add an account with the name that matches any      |
+      | put the same item twice                            |
+      | add an account with the reserved name              |
       | add a reason that is too long                      |
       | use a change id that is too long                   |
