--- a/buckthornstile/jobs/_types.py
+++ b/buckthornstile/jobs/_types.py
@@ -25,8 +25,10 @@
 class JobItem:
     """One request of a batch job.
 
-    ``headers`` are sent to the upstream unchanged. ``expected_tokens`` is the client's
-    estimate of the number of tokens that the request generates, or 0 if unknown.
+    ``headers`` are sent to the upstream unchanged. ``tokens`` is the number of tokens
+    stated at submission, or 0. Items with the same ``group`` form a group.
+    ``expected_tokens`` is the client's estimate of the number of tokens that the
+    request generates, or 0 if unknown.
     """
 
     id: ItemId
@@ -43,7 +45,8 @@
 class JobSpecification:
     """A batch job as it was accepted.
 
-    ``wanted_groups`` is the number of complete groups that its trainer waits for.
+    ``wanted_groups`` is the number of complete groups that its trainer waits for, or 0
+    for all of them. ``step`` is the step number stated at submission, or -1.
     ``submitted_at`` is the time in seconds since the epoch on the accepting process's
     clock. ``time_limit`` is the number of seconds after which the job is abandoned, or
     0 for the retention time of its route. A job with a ``key`` ends when that key is
