--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements behind the design notes."""
+"""Benchmarks, experiments with faults, and long runs of the state machine tests."""
--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -1,9 +1,10 @@
-"""Plays a day on real processes at small size, and prints what users would measure.
+"""Runs a scenario of load and faults on real processes and measures the outcome.
 
-``make experiment`` plays ``benchmarks/days/two-faults.toml``; ``DAY=FILE`` names
-another. Load, faults and checker are the soak's. It prints served, late, refused and
-failed calls of each kind, lots on time, loads of weights and calls to the store, as a
-table and a line of JSON, and draws what was served in each second.
+``make experiment`` runs ``benchmarks/days/two-faults.toml``; ``DAY=FILE`` names
+another scenario file. Load, faults and checks are those of the soak tests. The tool
+prints the served, late, refused and failed calls of each kind as a table, and these
+with the counts of samples, lots, weight loads and store requests as a line of JSON. It
+also plots the calls served in each second.
 """
 
 import argparse
@@ -22,37 +23,42 @@
 from tests.harness import DeploymentHarness
 from tests.invariants import CallRecord
 
-OBJECTIVES = {"lookup": 0.2, "order": 0.5, "completion": 1.5}  # seconds
-LOT_SAMPLES = 8
-DEFAULT_DAY = Path(__file__).with_name("days") / "two-faults.toml"
-RESULTS = Path("results")
+LATENCY_OBJECTIVES = {"lookup": 0.2, "order": 0.5, "completion": 1.5}  # seconds
+SAMPLES_PER_LOT = 8
+DEFAULT_SCENARIO = Path(__file__).with_name("days") / "two-faults.toml"
+RESULTS_DIRECTORY = Path("results")
 
 
 @dataclass(frozen=True, slots=True)
-class Day:
-    """A day: the deployment's size, its length in seconds, and its faults."""
+class Scenario:
+    """A scenario of the experiment tool.
+
+    Args:
+        plan: Size of the deployment, and faults.
+        duration: Duration in seconds.
+    """
 
     plan: FaultPlan
-    seconds: float
+    duration: float
 
 
-def read_day(path: Path) -> Day:
-    """Reads a day file.
+def load_scenario(path: Path) -> Scenario:
+    """Loads a scenario file.
 
     Raises:
-        ValueError: A field is missing or not known.
+        ValueError: A field is missing or unknown.
     """
     data = tomllib.loads(path.read_text())
     try:
         steps = tuple(FaultStep(**fault) for fault in data.get("faults", ()))
         plan = FaultPlan(0, data["entries"], data["engines"], data["desks"], steps)
-        return Day(plan, float(data["seconds"]))
+        return Scenario(plan, float(data["seconds"]))
     except (KeyError, TypeError) as error:
-        raise ValueError(f"day {path.name!r}: {error}") from error
+        raise ValueError(f"scenario file {path.name!r}: {error}") from error
 
 
 def measure_calls(calls: list[CallRecord]) -> dict[str, dict[str, float]]:
-    """Measures each kind of call.
+    """Returns the counts and latencies of each kind of call.
 
     Example:
         >>> call = CallRecord("mill", "lookup", "l", b"", 200, began=1.0, ended=1.1)
@@ -60,20 +66,20 @@
         1
     """
     rows: dict[str, dict[str, float]] = {}
-    for kind, objective in OBJECTIVES.items():
-        own = [call for call in calls if call.kind == kind and call.ended]
-        good = [call for call in own if call.status == 200]
-        times = sorted(call.ended - call.began for call in good)
-        late = sum(seconds > objective for seconds in times)
-        refused = sum(call.verdict == "not_run" for call in own)
+    for kind, objective in LATENCY_OBJECTIVES.items():
+        finished = [call for call in calls if call.kind == kind and call.ended]
+        served = [call for call in finished if call.status == 200]
+        latencies = sorted(call.ended - call.began for call in served)
+        late = sum(latency > objective for latency in latencies)
+        refused = sum(call.verdict == "not_run" for call in finished)
         rows[kind] = {
-            "asked": len(own),
-            "served": len(good),
+            "asked": len(finished),
+            "served": len(served),
             "late": late,
             "refused": refused,
-            "failed": len(own) - len(good) - refused,
-            "p50_ms": round(_find_quantile(times, 0.5) * 1000, 1),
-            "p99_ms": round(_find_quantile(times, 0.99) * 1000, 1),
+            "failed": len(finished) - len(served) - refused,
+            "p50_ms": round(_find_quantile(latencies, 0.5) * 1000, 1),
+            "p99_ms": round(_find_quantile(latencies, 0.99) * 1000, 1),
         }
     return rows
 
@@ -82,35 +88,35 @@
     return values[min(len(values) - 1, int(quantile * len(values)))] if values else 0.0
 
 
-def draw(calls: list[CallRecord], day: Day, path: Path) -> None:
-    """Draws the calls served in each second, with the spans of the faults."""
+def plot_calls(calls: list[CallRecord], scenario: Scenario, path: Path) -> None:
+    """Plots the calls served in each second, and marks the duration of each fault."""
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     began = min(call.began for call in calls)
     figure, axes = pyplot.subplots(figsize=(9, 4))
-    for kind in OBJECTIVES:
+    for kind in LATENCY_OBJECTIVES:
         counts = Counter(
             int(call.ended - began)
             for call in calls
             if call.kind == kind and call.status == 200
         )
-        seconds = range(int(day.seconds) + 1)
+        seconds = range(int(scenario.duration) + 1)
         axes.plot(list(seconds), [counts[second] for second in seconds], label=kind)
-    for step in day.plan.steps:
+    for step in scenario.plan.steps:
         axes.axvspan(step.at, step.at + step.seconds, alpha=0.15)
         axes.annotate(step.kind, (step.at, 0), rotation=90, fontsize=7)
     axes.set_xlabel("seconds")
-    axes.set_ylabel("served in a second")
+    axes.set_ylabel("calls served per second")
     axes.legend()
     path.parent.mkdir(exist_ok=True)
     figure.tight_layout()
     figure.savefig(path)
 
 
-def play_day(day: Day) -> dict[str, Any]:
-    """Plays a day and gives its measures."""
-    plan = day.plan
+def run_scenario(scenario: Scenario) -> dict[str, Any]:
+    """Runs a scenario and returns its measures."""
+    plan = scenario.plan
     harness = DeploymentHarness(
         engines=plan.engines,
         services=plan.desks,
@@ -120,32 +126,32 @@
     )
     started = time.monotonic()
     with harness:
-        problems, _ = run_plan(harness, plan, seconds=day.seconds)
-        figures = harness.store.call("GET", "/control/journal")
-    evidence = harness.evidence
-    loads = len(evidence.list_entries("order"))
-    draw(evidence.calls, day, RESULTS / "experiment.png")
+        problems, _ = run_plan(harness, plan, seconds=scenario.duration)
+        store_journal = harness.store.request_json("GET", "/control/journal")
+    observations = harness.observations
+    loads = len(observations.list_entries("order"))
+    plot_calls(observations.calls, scenario, RESULTS_DIRECTORY / "experiment.png")
     return {
-        "calls": measure_calls(evidence.calls),
-        "samples": len(evidence.samples),
-        "lots_whole": len(evidence.samples) // LOT_SAMPLES,
+        "calls": measure_calls(observations.calls),
+        "samples": len(observations.samples),
+        "lots_whole": len(observations.samples) // SAMPLES_PER_LOT,
         "loads": loads,
-        "store_appends": figures.get("calls_append", 0),
-        "store_reads": figures.get("calls_read", 0),
+        "store_appends": store_journal.get("calls_append", 0),
+        "store_reads": store_journal.get("calls_read", 0),
         "problems": problems,
         "seconds": round(time.monotonic() - started, 1),
     }
 
 
 def main() -> int:
-    """Plays a day and prints its measures.
+    """Runs a scenario and prints its measures.
 
     Returns:
-        The exit status: zero if no promise was broken.
+        Exit status: zero if no check failed.
     """
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("day", nargs="?", type=Path, default=DEFAULT_DAY)
-    measures = play_day(read_day(parser.parse_args().day))
+    parser.add_argument("day", nargs="?", type=Path, default=DEFAULT_SCENARIO)
+    measures = run_scenario(load_scenario(parser.parse_args().day))
     for kind, row in measures["calls"].items():
         print(kind, "  ".join(f"{name} {value}" for name, value in row.items()))
     print(json.dumps(measures))
--- a/benchmarks/tests/test_walks.py
+++ b/benchmarks/tests/test_walks.py
@@ -1,4 +1,4 @@
-"""Random walks over state machines: what they draw, find and repeat."""
+"""Tests of the random walks over state machines."""
 
 import random
 
@@ -12,12 +12,18 @@
     rule,
 )
 
-from benchmarks.fuzz import MACHINES, load_machine
-from benchmarks.walks import Batch, list_batches, list_rules, make_draw, walk
+from benchmarks.fuzz import STATE_MACHINES, load_state_machine
+from benchmarks.walks import (
+    WalkBatch,
+    inspect_machine,
+    make_batches,
+    make_sampler,
+    run_random_walk,
+)
 
 
 class CounterMachine(RuleBasedStateMachine):
-    """Counts up; its invariant fails above a limit."""
+    """Changes a count, which an invariant limits."""
 
     limit = 10**9
 
@@ -25,23 +31,23 @@
     def start(self) -> None:
         self.count = 0
 
-    @rule(step=st.integers(1, 3), is_taken=st.booleans())
-    def add(self, step: int, is_taken: bool) -> None:
-        self.count += step * is_taken
+    @rule(step=st.integers(1, 3), is_added=st.booleans())
+    def add(self, step: int, is_added: bool) -> None:
+        self.count += step * is_added
 
-    @rule(word=st.sampled_from(["a", "b"]), share=st.floats(0.0, 0.5))
-    def speak(self, word: str, share: float) -> None:
-        assert word in "ab"
-        assert 0.0 <= share <= 0.5
+    @rule(letter=st.sampled_from(["a", "b"]), fraction=st.floats(0.0, 0.5))
+    def check_arguments(self, letter: str, fraction: float) -> None:
+        assert letter in "ab"
+        assert 0.0 <= fraction <= 0.5
 
     @precondition(lambda self: self.count > 0)
     @rule(data=st.data())
-    def take_away(self, data: st.DataObject) -> None:
+    def subtract(self, data: st.DataObject) -> None:
         assert self.count > 0
         self.count -= data.draw(st.integers(0, 1))
 
     @invariant()
-    def stays_small(self) -> None:
+    def check_limit(self) -> None:
         assert self.count <= self.limit
 
 
@@ -49,30 +55,30 @@
     limit = 20
 
 
-def test_walk_that_holds_has_no_problem() -> None:
-    assert walk(CounterMachine, Batch("counter", 3, 500)).problem == ""
+def test_walk_without_failure_has_no_problem() -> None:
+    assert run_random_walk(CounterMachine, WalkBatch("counter", 3, 500)).problem == ""
 
 
-def test_walk_finds_a_broken_invariant_and_repeats_it() -> None:
-    batch = Batch("counter", 3, 500)
-    result = walk(FaultyMachine, batch)
-    assert "stays_small" in result.problem
-    assert result == walk(FaultyMachine, batch)
+def test_walk_reports_a_failed_invariant_and_is_repeatable() -> None:
+    batch = WalkBatch("counter", 3, 500)
+    result = run_random_walk(FaultyMachine, batch)
+    assert "check_limit" in result.problem
+    assert result == run_random_walk(FaultyMachine, batch)
 
 
-def test_draw_of_an_unknown_kind_is_refused() -> None:
-    with pytest.raises(ValueError, match="its kind is not known to walks"):
-        make_draw(st.text())
+def test_unsupported_strategy_is_rejected() -> None:
+    with pytest.raises(ValueError, match="is not supported by random walks"):
+        make_sampler(st.text())
 
 
-def test_draws_stay_within_their_bounds() -> None:
+def test_sampled_integers_cover_their_bounds() -> None:
     source = random.Random(1)
-    drawn = {make_draw(st.integers(2, 4))(source) for _ in range(100)}
+    drawn = {make_sampler(st.integers(2, 4))(source) for _ in range(100)}
     assert drawn == {2, 3, 4}
 
 
-def test_steps_are_dealt_out_to_machines_in_turn() -> None:
-    batches = list_batches(["a", "b"], 7, 50_000)
+def test_batches_alternate_between_machines_with_consecutive_seeds() -> None:
+    batches = make_batches(["a", "b"], 7, 50_000)
     assert [(one.machine, one.seed, one.steps) for one in batches] == [
         ("a", 7, 20_000),
         ("b", 8, 20_000),
@@ -80,9 +86,9 @@
     ]
 
 
-@pytest.mark.parametrize("name", sorted(MACHINES))
-def test_every_machine_can_be_walked(name: str) -> None:
-    machine = load_machine(name)
-    assert list_rules(machine).rules
-    assert list_rules(machine).invariants
-    assert walk(machine, Batch(name, 1, 120)).problem == ""
+@pytest.mark.parametrize("name", sorted(STATE_MACHINES))
+def test_every_state_machine_supports_random_walks(name: str) -> None:
+    machine = load_state_machine(name)
+    assert inspect_machine(machine).rules
+    assert inspect_machine(machine).invariants
+    assert run_random_walk(machine, WalkBatch(name, 1, 120)).problem == ""
--- a/benchmarks/walks.py
+++ b/benchmarks/walks.py
@@ -1,8 +1,9 @@
-"""Walks the tests' state machines at random for many steps, without shrinking.
+"""Runs random walks over the state machines of the tests, without shrinking.
 
-``python -m benchmarks.walks --steps 10000000 --jobs 3`` takes the rules and the
-invariants of the same machines as ``make fuzz``, and calls them directly, which is many
-times faster. A walk that fails names its seed; the same command repeats it.
+``python -m benchmarks.walks --steps 10000000 --jobs 3`` runs the rules and invariants
+of the same state machines as ``make fuzz``. It calls them directly instead of through
+hypothesis, which is many times faster. If an invariant fails, it prints the seed and
+the command that repeats the walk.
 """
 
 import argparse
@@ -20,37 +21,44 @@
 from hypothesis import stateful
 from hypothesis.stateful import RuleBasedStateMachine
 
-from benchmarks.fuzz import MACHINES, load_machine
+from benchmarks.fuzz import STATE_MACHINES, load_state_machine
 
 WALK_STEPS = 60
-"""Steps from one fresh machine to the next; the tests take 40 to 60."""
+"""Steps of one state machine object; the tests run 40 to 60."""
 BATCH_STEPS = 20_000
-"""Steps between two reports of a process; about a second's work."""
+"""Steps of one task of a worker process; they take about a second."""
 
-Draw = Callable[[random.Random], Any]
+Sampler = Callable[[random.Random], Any]
 
 
 @dataclass(frozen=True, slots=True)
-class WalkRule:
-    """One rule: its name, its arguments, and when it may be taken."""
+class RuleSpecification:
+    """A rule of a state machine.
+
+    Args:
+        name: Name of the method.
+        samplers: Name of each argument, with the function that draws its value.
+        preconditions: Functions of the state machine object that must all return
+            true before the rule may run.
+    """
 
     name: str
-    draws: tuple[tuple[str, Draw], ...]
+    samplers: tuple[tuple[str, Sampler], ...]
     preconditions: tuple[Callable[[Any], object], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
-    """What a machine can do and what must hold, by name."""
+class MachineSpecification:
+    """Initial methods, rules and invariants of a state machine class."""
 
     initialize: tuple[str, ...]
-    rules: tuple["WalkRule", ...]
+    rules: tuple["RuleSpecification", ...]
     invariants: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Batch:
-    """Steps of one machine under one seed."""
+class WalkBatch:
+    """A number of steps of one state machine with one seed."""
 
     machine: str
     seed: int
@@ -58,35 +66,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BatchResult:
-    """What became of a batch.
+class WalkResult:
+    """Result of a batch.
 
     Args:
         batch: The batch.
-        problem: The trace of what failed, or an empty text.
+        problem: Steps and traceback of a failure; empty if every invariant held.
     """
 
-    batch: Batch
+    batch: WalkBatch
     problem: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class _Drawer:
-    """Draws in the middle of a rule, as ``st.data()`` does."""
+class _DataSampler:
+    """Draws values within a rule, in place of the object that ``st.data()`` gives."""
 
     source: random.Random = field(repr=False)
 
     def draw(self, strategy: Any, label: Any = None) -> Any:
-        """Draws one value of a simple strategy."""
-        return make_draw(strategy)(self.source)
+        """Draws one value from a simple strategy."""
+        return make_sampler(strategy)(self.source)
 
 
-def make_draw(strategy: Any) -> Draw:
-    """Makes a function that draws one value of a simple strategy.
+def make_sampler(strategy: Any) -> Sampler:
+    """Returns a function that draws one value from a simple strategy.
 
     Args:
-        strategy: Of ``sampled_from``, ``integers`` and ``floats`` with bounds,
-            ``booleans``, or ``data``.
+        strategy: Strategy of ``sampled_from``, ``integers`` or ``floats`` with
+            bounds, ``booleans``, or ``data``.
 
     Raises:
         ValueError: The strategy is of another kind.
@@ -96,143 +104,156 @@
         elements = tuple(inner.elements)
         return lambda source: source.choice(elements)
     if hasattr(inner, "start") and hasattr(inner, "end"):
-        return partial(_draw_integer, start=inner.start, end=inner.end)
+        return partial(_sample_integer, start=inner.start, end=inner.end)
     if hasattr(inner, "min_value") and hasattr(inner, "max_value"):
-        return partial(_draw_float, low=inner.min_value, high=inner.max_value)
+        return partial(_sample_float, low=inner.min_value, high=inner.max_value)
     if type(inner).__name__ == "BooleansStrategy":
         return lambda source: source.random() < 0.5
     if type(inner).__name__ == "DataStrategy":
-        return _Drawer
-    raise ValueError(f"strategy {strategy!r}: its kind is not known to walks")
+        return _DataSampler
+    raise ValueError(f"strategy {strategy!r} is not supported by random walks")
 
 
-def _draw_integer(source: random.Random, *, start: int, end: int) -> int:
+def _sample_integer(source: random.Random, *, start: int, end: int) -> int:
     return source.randint(start, end)
 
 
-def _draw_float(source: random.Random, *, low: float, high: float) -> float:
-    # The ends are where comparisons go wrong.
+def _sample_float(source: random.Random, *, low: float, high: float) -> float:
+    # Faulty comparisons show at the bounds, so these are drawn often.
     return source.choice((low, high, source.uniform(low, high)))
 
 
-def list_rules(machine: type[RuleBasedStateMachine]) -> Rules:
-    """Lists a machine's rules and invariants.
+def inspect_machine(machine: type[RuleBasedStateMachine]) -> MachineSpecification:
+    """Returns the initial methods, rules and invariants of a state machine class.
 
     Raises:
-        ValueError: A rule draws what walks cannot draw.
+        ValueError: A rule has an argument of a strategy that is not supported.
     """
-    first: list[str] = []
-    rules: list[WalkRule] = []
+    initialize: list[str] = []
+    rules: list[RuleSpecification] = []
     invariants: list[str] = []
     for name, member in inspect.getmembers(machine, inspect.isfunction):
         if hasattr(member, stateful.INITIALIZE_RULE_MARKER):
-            first.append(name)
+            initialize.append(name)
         elif hasattr(member, stateful.INVARIANT_MARKER):
             invariants.append(name)
         elif hasattr(member, stateful.RULE_MARKER):
-            taken = getattr(member, stateful.RULE_MARKER)
-            draws = tuple(
-                (key, make_draw(one)) for key, one in dict(taken.arguments).items()
+            rule = getattr(member, stateful.RULE_MARKER)
+            samplers = tuple(
+                (key, make_sampler(strategy))
+                for key, strategy in dict(rule.arguments).items()
             )
-            rules.append(WalkRule(name, draws, tuple(taken.preconditions)))
-    return Rules(tuple(first), tuple(rules), tuple(invariants))
+            rules.append(RuleSpecification(name, samplers, tuple(rule.preconditions)))
+    return MachineSpecification(tuple(initialize), tuple(rules), tuple(invariants))
 
 
-def walk(machine: type[RuleBasedStateMachine], batch: Batch) -> BatchResult:
-    """Walks a machine, anew every ``WALK_STEPS`` steps.
+def run_random_walk(
+    machine: type[RuleBasedStateMachine], batch: WalkBatch
+) -> WalkResult:
+    """Runs random rules of a state machine and checks its invariants.
+
+    Starts with a new object every ``WALK_STEPS`` steps.
 
     Args:
-        machine: The machine.
-        batch: How many steps, and the seed of all choices.
+        machine: Class of the state machine.
+        batch: Number of steps, and seed of all random choices.
 
     Returns:
-        What became of it.
+        The result, with the steps of the walk that failed.
     """
     source = random.Random(batch.seed)
-    rules = list_rules(machine)
-    left = batch.steps
-    trail: list[str] = []
+    specification = inspect_machine(machine)
+    remaining = batch.steps
+    step_log: list[str] = []
     try:
-        while left > 0:
-            trail = []
+        while remaining > 0:
+            step_log = []
             current = machine()
-            for name in rules.initialize:
+            for name in specification.initialize:
                 getattr(current, name)()
-            for _ in range(min(left, WALK_STEPS)):
-                taken = _choose_rule(rules, current, source)
-                values = {key: draw(source) for key, draw in taken.draws}
-                trail.append(f"{taken.name}({values})")
-                getattr(current, taken.name)(**values)
-                for invariant in rules.invariants:
+            for _ in range(min(remaining, WALK_STEPS)):
+                rule = _choose_rule(specification, current, source)
+                values = {key: sampler(source) for key, sampler in rule.samplers}
+                step_log.append(f"{rule.name}({values})")
+                getattr(current, rule.name)(**values)
+                for invariant in specification.invariants:
                     getattr(current, invariant)()
             current.teardown()
-            left -= WALK_STEPS
+            remaining -= WALK_STEPS
     except Exception:
-        lines = [*trail, traceback.format_exc()]
-        return BatchResult(batch, "\n".join(lines))
-    return BatchResult(batch)
+        lines = [*step_log, traceback.format_exc()]
+        return WalkResult(batch, "\n".join(lines))
+    return WalkResult(batch)
 
 
 def _choose_rule(
-    rules: Rules, machine: RuleBasedStateMachine, source: random.Random
-) -> WalkRule:
+    specification: MachineSpecification,
+    machine: RuleBasedStateMachine,
+    source: random.Random,
+) -> RuleSpecification:
     while True:
-        chosen = source.choice(rules.rules)
-        if all(holds(machine) for holds in chosen.preconditions):
+        chosen = source.choice(specification.rules)
+        if all(precondition(machine) for precondition in chosen.preconditions):
             return chosen
 
 
-def walk_batch(batch: Batch) -> BatchResult:
-    """Walks one of the tests' machines."""
-    return walk(load_machine(batch.machine), batch)
+def run_batch(batch: WalkBatch) -> WalkResult:
+    """Runs a batch on the state machine that it names."""
+    return run_random_walk(load_state_machine(batch.machine), batch)
+
 
+def make_batches(names: list[str], seed: int, steps: int) -> list[WalkBatch]:
+    """Divides steps into batches, for each state machine in turn.
 
-def list_batches(names: list[str], seed: int, steps: int) -> list[Batch]:
-    """Deals steps out to machines in turn, each batch with a seed of its own.
+    Every batch has a seed of its own.
 
     Example:
-        >>> [batch.steps for batch in list_batches(["lease"], 7, 30_000)]
+        >>> [batch.steps for batch in make_batches(["lease"], 7, 30_000)]
         [20000, 10000]
     """
-    batches: list[Batch] = []
+    batches: list[WalkBatch] = []
     while steps > 0:
         name = names[len(batches) % len(names)]
-        batches.append(Batch(name, seed + len(batches), min(steps, BATCH_STEPS)))
+        batches.append(WalkBatch(name, seed + len(batches), min(steps, BATCH_STEPS)))
         steps -= BATCH_STEPS
     return batches
 
 
 def main() -> int:
-    """Reads the options, walks, and prints the steps of each machine.
+    """Runs the walks and prints the number of steps of each state machine.
 
     Returns:
-        The exit status: zero only if every invariant held.
+        Exit status: zero only if every invariant held.
     """
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--steps", type=int, default=1_000_000, help="of all machines")
+    parser.add_argument(
+        "--steps", type=int, default=1_000_000, help="steps of all state machines"
+    )
     parser.add_argument("--seed", type=int, default=None, help="the first seed")
-    parser.add_argument("--only", choices=sorted(MACHINES), default=None)
-    parser.add_argument("--jobs", type=int, default=2, help="processes")
+    parser.add_argument("--only", choices=sorted(STATE_MACHINES), default=None)
+    parser.add_argument("--jobs", type=int, default=2, help="number of processes")
     arguments = parser.parse_args()
     seed = secrets.randbits(31) if arguments.seed is None else arguments.seed
-    names = [arguments.only] if arguments.only else list(MACHINES)
-    walked = dict.fromkeys(names, 0)
+    names = [arguments.only] if arguments.only else list(STATE_MACHINES)
+    step_counts = dict.fromkeys(names, 0)
     failed = 0
     with multiprocessing.Pool(arguments.jobs) as pool:
-        batches = list_batches(names, seed, arguments.steps)
-        for result in pool.imap_unordered(walk_batch, batches):
+        batches = make_batches(names, seed, arguments.steps)
+        for result in pool.imap_unordered(run_batch, batches):
             batch = result.batch
-            walked[batch.machine] += batch.steps
+            step_counts[batch.machine] += batch.steps
             if result.problem:
                 failed += 1
                 print(
-                    f"{batch.machine}: FAILED under seed {batch.seed}; repeat it with\n"
+                    f"{batch.machine}: FAILED with seed {batch.seed}; repeat with\n"
                     f"  python -m benchmarks.walks --only {batch.machine} "
                     f"--seed {batch.seed} --steps {batch.steps}\n{result.problem}",
                     flush=True,
                 )
-    steps = ", ".join(f"{name} {count}" for name, count in walked.items())
-    print(f"{sum(walked.values())} steps from seed {seed} ({steps}): {failed} failed")
+    steps = ", ".join(f"{name} {count}" for name, count in step_counts.items())
+    print(
+        f"{sum(step_counts.values())} steps from seed {seed} ({steps}): {failed} failed"
+    )
     return int(failed > 0)
 
 
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -183,7 +183,9 @@
         self.report.say("every engine has loaded it, as the lease's holder ordered")
 
     def _count_old_engines(self) -> int:
-        reports = [engine.call("GET", "/-/report") for engine in self._list_engines()]
+        reports = [
+            engine.request_json("GET", "/-/report") for engine in self._list_engines()
+        ]
         return sum(
             model["version"] != NEW_VERSION
             for report in reports
@@ -219,7 +221,9 @@
         status: dict[str, Any] = {"open_calls": 0}
         async with asyncio.timeout(STEP_TIMEOUT):
             while status["open_calls"] < 2:
-                status = await asyncio.to_thread(entry.call, "GET", "/v1/status")
+                status = await asyncio.to_thread(
+                    entry.request_json, "GET", "/v1/status"
+                )
         self.report.say(
             f"{name} is asked to stop with {status['open_calls']} calls open"
         )
--- a/soak/_deployment.py
+++ b/soak/_deployment.py
@@ -42,7 +42,7 @@
         self.other_key, items = harness.create_account("quay")
         self.other_item = next(item for item in items if isinstance(item, ApiKey))
         harness.observations.keys.append(self.other_key)
-        harness.change(*items)
+        harness.apply_change(*items)
         harness.wait_until_ready()
 
     def start_entry(self, name: str, *, again: bool = False) -> ManagedProcess:
@@ -51,7 +51,7 @@
         return self.harness.add_entry(
             name,
             f"bench-{'abc'[number % 3]}",
-            instead_of=self.harness.entries[name] if again else None,
+            replaces=self.harness.entries[name] if again else None,
             store_address=f"{proxy.address}:{proxy.port}",
         )
 
--- a/soak/_steps.py
+++ b/soak/_steps.py
@@ -125,11 +125,13 @@
             )
             await asyncio.sleep(step.seconds)
             path = f"/control/faults?kind={step.variant}"
-            await asyncio.to_thread(store.call, "DELETE", path)
+            await asyncio.to_thread(store.request_json, "DELETE", path)
 
     async def _do_compact(self, step: FaultStep) -> None:
         with contextlib.suppress(OSError):
-            await asyncio.to_thread(self.harness.store.call, "POST", "/control/compact")
+            await asyncio.to_thread(
+                self.harness.store.request_json, "POST", "/control/compact"
+            )
 
     async def _do_link_cut(self, step: FaultStep) -> None:
         proxy = self.proxies[self._choose_entry(step)]
@@ -138,7 +140,9 @@
         proxy.restore()
 
     async def _do_link_reset(self, step: FaultStep) -> None:
-        await asyncio.to_thread(self.proxies[self._choose_entry(step)].reset)
+        await asyncio.to_thread(
+            self.proxies[self._choose_entry(step)].reset_connections
+        )
 
     async def _do_link_delay(self, step: FaultStep) -> None:
         proxy = self.proxies[self._choose_entry(step)]
@@ -164,7 +168,9 @@
             async with self.deployment.changes:
                 name = ItemReference(kind="drain", name=domain)
                 ended = time.time()
-                await asyncio.to_thread(lambda: self.harness.change(remove=[name]))
+                await asyncio.to_thread(
+                    lambda: self.harness.apply_change(remove=[name])
+                )
             self.deployment.drain_spans.append(
                 (domain, self.deployment.drained[domain], ended)
             )
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -1,7 +1,6 @@
-"""A whole small deployment of separate processes, for the demo and tests.
+"""A small deployment of separate processes, for tests, benchmarks and the demo.
 
-Test-side only: the product starts no process. Every process listens on a
-loopback address of its own.
+Every process listens on a loopback address of its own.
 """
 
 import json
@@ -26,9 +25,9 @@
 from buckthornstile.platform import CONFIGURATION_TOPIC
 from standins.process import ManagedProcess, ProcessManager
 
-WAIT_SECONDS = 20.0
-POLL_SECONDS = 0.05
-ENTRY_SETTINGS = {
+DEFAULT_TIMEOUT = 20.0  # seconds
+POLL_INTERVAL = 0.05  # seconds
+DEFAULT_ENTRY_SETTINGS = {
     "heartbeat": 0.5,
     "usage_window": 2,
     "usage_due": 10,
@@ -38,11 +37,12 @@
 
 
 class Deployment:
-    """Starts the store, workers and entries.
+    """Starts a store, workers and entries, and stops them on exit.
 
     Args:
-        entry_settings: Settings of every entry, besides the usual ones.
-        store_flags: Flags of the store's stand-in.
+        entry_settings: Settings of every entry, which override
+            DEFAULT_ENTRY_SETTINGS.
+        store_flags: Command-line flags of the store's stand-in.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         entry_settings: dict[str, Any] | None = None,
         store_flags: dict[str, Any] | None = None,
     ) -> None:
-        self.entry_settings = {**ENTRY_SETTINGS, **(entry_settings or {})}
+        self.entry_settings = {**DEFAULT_ENTRY_SETTINGS, **(entry_settings or {})}
         self.store_flags = store_flags or {}
         self.workers: dict[str, ManagedProcess] = {}
         self.entries: dict[str, ManagedProcess] = {}
@@ -76,10 +76,12 @@
         self.process_manager.__exit__(*exception)
 
     def stop_entries(self) -> list[int]:
-        """Stops the entries while the store still takes their last records.
+        """Stops the running entries.
+
+        The store still runs, so that the entries can write their last records.
 
         Returns:
-            The exit status of each that was running.
+            Exit status of each entry that was running.
         """
         running = [entry for entry in self.entries.values() if entry.is_running]
         for entry in running:
@@ -87,33 +89,38 @@
         return [entry.stop() for entry in running]
 
     def allocate_address(self) -> str:
-        """Gives the next loopback address, one that no other process here uses.
+        """Returns a loopback address that no process of this deployment uses yet.
 
-        An entry that starts again at its port must not find it taken by another
-        deployment's entry that asked for any free one.
+        The address also depends on this process's id. Otherwise an entry that
+        restarts at its old port could find the port taken by an entry of another
+        deployment that asked for any free port.
         """
         self._addresses += 1
         network = 1 + os.getpid() % 250
         return f"127.{network}.{self._addresses // 250}.{self._addresses % 250 + 1}"
 
-    # Processes
-
     def add_engine(
-        self, name: str, domain: str, service: str, *, model: str = "llm", **flags: Any
+        self,
+        name: str,
+        failure_domain: str,
+        service: str,
+        *,
+        model: str = "llm",
+        **flags: Any,
     ) -> ManagedProcess:
-        """Starts a model engine."""
-        return self.add_worker(name, domain, service, models=model, **flags)
+        """Starts a worker that is a model engine."""
+        return self.add_worker(name, failure_domain, service, models=model, **flags)
 
     def add_worker(
-        self, name: str, domain: str, service: str, **flags: Any
+        self, name: str, failure_domain: str, service: str, **flags: Any
     ) -> ManagedProcess:
-        """Starts a worker, which registers itself in the store."""
+        """Starts a worker, which then registers itself in the store."""
         worker = self.workers[name] = self.process_manager.start(
             "standins.worker",
             worker_name=name,
             address=self.allocate_address(),
             service=service,
-            zone=domain,
+            zone=failure_domain,
             **{"store": self.store.url, **flags},
         )
         return worker
@@ -121,21 +128,30 @@
     def add_entry(
         self,
         name: str,
-        domain: str,
+        failure_domain: str,
         *,
-        instead_of: ManagedProcess | None = None,
+        replaces: ManagedProcess | None = None,
         **settings: Any,
     ) -> ManagedProcess:
-        """Starts an entry, at an address of its own or at that of an earlier one."""
+        """Starts an entry.
+
+        Args:
+            name: Name of the entry's process.
+            failure_domain: Failure domain of the entry.
+            replaces: A stopped entry whose address and port the new one reuses; by
+                default, the entry gets a new address and any free port.
+            settings: Settings of this entry, which override those of the
+                deployment.
+        """
         port = 0
-        if instead_of is None:
+        if replaces is None:
             address = self.allocate_address()
         else:
-            address, port = instead_of.address, instead_of.port
+            address, port = replaces.address, replaces.port
         store = self.store.url.removeprefix("http://")
-        own = {
+        base_settings = {
             "process": name,
-            "failure_domain": domain,
+            "failure_domain": failure_domain,
             "api_address": f"{address}:{port}",
             "peer_address": f"{address}:0",
             "store_address": store,
@@ -146,44 +162,42 @@
             "entry",
             name=name,
             address=address,
-            is_standin=False,
-            **{**own, **self.entry_settings, **settings},
+            accepts_address=False,
+            **{**base_settings, **self.entry_settings, **settings},
         )
         return entry
 
     @property
     def entry_urls(self) -> list[str]:
-        """The addresses of the running entries."""
+        """Base URLs of the running entries."""
         return [entry.url for entry in self.entries.values() if entry.is_running]
 
     def send_request(
-        self, entry: ManagedProcess, key: str, path: str, fields: dict[str, Any]
+        self, entry: ManagedProcess, key: str, path: str, body_fields: dict[str, Any]
     ) -> tuple[int, bytes]:
-        """Makes one call through an entry, with a prompt if none is given.
+        """Sends one request to an entry, with a default prompt if none is given.
 
         Returns:
-            The status and the body.
+            Status and body of the response.
         """
-        body = json.dumps({"prompt": "set a tooth", **fields}).encode()
+        body = json.dumps({"prompt": "set a tooth", **body_fields}).encode()
         request = Request(entry.url + path, data=body, method="POST")
         request.add_header("Authorization", f"Bearer {key}")
         try:
             with build_opener(ProxyHandler({})).open(
-                request, timeout=WAIT_SECONDS
-            ) as answer:
-                return answer.status, answer.read()
+                request, timeout=DEFAULT_TIMEOUT
+            ) as response:
+                return response.status, response.read()
         except HTTPError as error:
             return error.code, error.read()
 
-    # Configuration
-
-    def change(
+    def apply_change(
         self, *put: ConfigurationItem, remove: Iterable[ItemReference] = ()
     ) -> int:
         """Appends a configuration change to the store.
 
         Returns:
-            The revision that it makes.
+            Revision that the change creates.
         """
         change = ConfigurationChange(
             change_id=secrets.token_hex(8),
@@ -192,68 +206,81 @@
             remove=tuple(remove),
             operator="test",
         )
-        self.append(
+        self.append_records(
             CONFIGURATION_TOPIC,
-            [pack_keyed(record.key, record.value) for record in encode_change(change)],
+            [
+                encode_keyed_record(record.key, record.value)
+                for record in encode_change(change)
+            ],
         )
         self._revision += 1
         return self._revision
 
-    def append(self, topic: str, records: Iterable[bytes]) -> None:
-        """Appends records to a topic of the store."""
+    def append_records(self, topic: str, records: Iterable[bytes]) -> None:
+        """Appends records to partition 0 of a topic of the store."""
         body = b"".join(struct.pack(">I", len(one)) + one for one in records)
         url = f"{self.store.url}/-/log-append?topic={topic}&part=0"
         request = Request(url, data=body, method="POST")
         with build_opener(ProxyHandler({})).open(
-            request, timeout=WAIT_SECONDS
-        ) as answer:
-            answer.read()
+            request, timeout=DEFAULT_TIMEOUT
+        ) as response:
+            response.read()
 
     def create_account(self, name: str, **fields: Any) -> tuple[str, list[Any]]:
-        """Makes a client account with one key.
+        """Creates the items of a client account with one API key.
 
         Returns:
-            The key in clear, and the items to put.
+            Key in plain text, and the items to pass to apply_change().
         """
-        clear = f"bk_{secrets.token_urlsafe(24)}"
-        key = ApiKey(name=f"{name}-key", account=name, digest=hash_api_key(clear))
-        return clear, [Account(name=name, **fields), key]
-
-    # Waiting
+        api_key = f"bk_{secrets.token_urlsafe(24)}"
+        key_item = ApiKey(
+            name=f"{name}-key", account=name, digest=hash_api_key(api_key)
+        )
+        return api_key, [Account(name=name, **fields), key_item]
 
     def wait_for(
         self,
         condition: Callable[[], bool],
         what: str,
         *,
-        seconds: float = WAIT_SECONDS,
+        seconds: float = DEFAULT_TIMEOUT,
     ) -> float:
-        """Polls until a condition holds.
+        """Polls a condition until it holds.
+
+        Args:
+            condition: Returns whether the condition holds.
+            what: Description of the condition, for the error text.
+            seconds: Timeout in seconds.
 
         Returns:
-            The seconds that it took.
+            Seconds until the condition held.
 
         Raises:
-            TimeoutError: It did not hold in time.
+            TimeoutError: The condition did not hold in time.
         """
         started = time.monotonic()
         while not condition():
             if time.monotonic() - started > seconds:
-                raise TimeoutError(f"after {seconds} s still not: {what}")
-            time.sleep(POLL_SECONDS)
+                raise TimeoutError(f"condition not met within {seconds} s: {what}")
+            time.sleep(POLL_INTERVAL)
         return time.monotonic() - started
 
     def read_status(self, entry: str) -> dict[str, Any]:
-        """Reads an entry's status."""
-        return self.entries[entry].call("GET", "/v1/status")
+        """Returns the status that an entry reports."""
+        return self.entries[entry].request_json("GET", "/v1/status")
 
     def wait_until_ready(self, *, revision: int | None = None) -> None:
-        """Waits until every entry knows a revision, all workers and all entries."""
-        wanted = self._revision if revision is None else revision
+        """Waits until every entry is ready and knows all running processes.
+
+        Args:
+            revision: Configuration revision that each entry must have reached; the
+                latest that this deployment created by default.
+        """
+        expected = self._revision if revision is None else revision
         for name in self.entries:
             self.wait_for(
-                lambda name=name: self._is_ready(name, wanted),
-                f"{name} is ready at revision {wanted}",
+                lambda name=name: self._is_ready(name, expected),
+                f"{name} is ready at revision {expected}",
             )
 
     def _is_ready(self, name: str, revision: int) -> bool:
@@ -269,7 +296,7 @@
         )
 
 
-def pack_keyed(key: str, value: bytes) -> bytes:
-    """Packs a record of a keyed topic."""
-    name = key.encode()
-    return bytes([len(name)]) + name + value
+def encode_keyed_record(key: str, value: bytes) -> bytes:
+    """Encodes a record of a keyed topic: key length in one byte, key, value."""
+    encoded_key = key.encode()
+    return bytes([len(encoded_key)]) + encoded_key + value
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""Scripted faults: which ones are on, for what, and how many times."""
+"""Fault injection for the stand-ins."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -7,14 +7,14 @@
 
 @dataclass(slots=True)
 class Fault:
-    """One scripted fault.
+    """A fault that a stand-in injects.
 
     Args:
-        kind: What goes wrong; each stand-in lists its kinds.
-        target: The interface concerned, or empty for all.
-        seconds: A duration for slow, late or hanging answers.
-        value: A number for kinds that need one.
-        count: How many more times it strikes, or None for no limit.
+        kind: Kind of the fault; each stand-in documents its kinds.
+        target: Interface that the fault affects, or empty for all.
+        seconds: Duration in seconds, for slow, late or missing responses.
+        value: A number, for the kinds that need one.
+        count: Number of remaining occurrences, or None for no limit.
     """
 
     kind: str
@@ -25,38 +25,43 @@
 
 
 class FaultInjector:
-    """The faults that are on.
+    """The enabled faults of a stand-in.
 
     Args:
-        actions: Kinds that strike once, when they are added.
+        immediate_actions: Functions by fault kind; a fault of such a kind calls its
+            function once, when it is added.
 
     Example:
-        >>> table = FaultInjector()
-        >>> table.add({"kind": "down", "target": "log", "count": 1})
-        >>> table.consume("down", "log").kind, table.consume("down", "log")
+        >>> injector = FaultInjector()
+        >>> injector.add({"kind": "down", "target": "log", "count": 1})
+        >>> injector.consume("down", "log").kind, injector.consume("down", "log")
         ('down', None)
     """
 
     def __init__(
-        self, actions: Mapping[str, Callable[[Fault], None]] | None = None
+        self, immediate_actions: Mapping[str, Callable[[Fault], None]] | None = None
     ) -> None:
-        self.actions = actions or {}
+        self.immediate_actions = immediate_actions or {}
         self._faults: list[Fault] = []
 
     def add(self, fields: dict[str, Any]) -> None:
-        """Switches a fault on, from its fields; an action strikes at once."""
+        """Enables a fault, or runs its immediate action.
+
+        Args:
+            fields: Fields of a Fault.
+        """
         fault = Fault(**fields)
-        if fault.kind in self.actions:
-            self.actions[fault.kind](fault)
+        if fault.kind in self.immediate_actions:
+            self.immediate_actions[fault.kind](fault)
         else:
             self._faults.append(fault)
 
     def clear(self, kind: str = "") -> None:
-        """Switches off the faults of a kind, or all."""
+        """Disables the faults of one kind, or all faults."""
         self._faults = [f for f in self._faults if kind and f.kind != kind]
 
     def consume(self, kind: str, target: str = "") -> Fault | None:
-        """Finds a fault that is on and uses up one of its strikes."""
+        """Returns an enabled fault, if any, and uses up one of its occurrences."""
         for fault in self._faults:
             if fault.kind != kind or fault.target not in ("", target):
                 continue
--- a/standins/process.py
+++ b/standins/process.py
@@ -1,4 +1,4 @@
-"""Starts stand-ins and daemons as processes, for tests and the demo."""
+"""Starts and stops stand-ins and entries as child processes."""
 
 import json
 import os
@@ -14,69 +14,72 @@
 
 START_TIMEOUT = 20.0  # seconds
 STOP_TIMEOUT = 10.0  # seconds
-CALL_TIMEOUT = 10.0  # seconds
-READY_POLL = 0.02  # seconds
+REQUEST_TIMEOUT = 10.0  # seconds
+READY_POLL_INTERVAL = 0.02  # seconds
 
 
 @dataclass(slots=True)
 class ManagedProcess:
-    """One process of the bench.
+    """A child process that a ProcessManager has started.
 
     Args:
-        name: Its name on the bench.
-        process: The operating system's process.
-        ready: The JSON line that it printed at its start.
-        log_path: Where its error output goes.
-        address: The IP number that it listens on.
-        stop_requested: Whether it was sent SIGTERM.
+        name: Name of the process, used in its log file's name and in errors.
+        process: The process itself.
+        startup_info: The JSON object that the process printed when it was ready.
+        log_path: File that receives its standard error.
+        address: IP address that it listens on.
+        stop_requested: Whether SIGTERM was sent to it.
     """
 
     name: str
     process: "subprocess.Popen[bytes]"
-    ready: dict[str, Any]
+    startup_info: dict[str, Any]
     log_path: Path
     address: str = "127.0.0.1"
     stop_requested: bool = False
 
     @property
     def output_path(self) -> Path:
-        """Where its standard output goes, such as an entry's event lines."""
+        """File that receives its standard output, such as an entry's event log."""
         return self.log_path.with_suffix(".out")
 
     @property
     def port(self) -> int:
-        """The port that it listens on."""
-        return self.ready["port"]
+        """TCP port that it listens on."""
+        return self.startup_info["port"]
 
     @property
     def url(self) -> str:
-        """Where it listens."""
+        """Base URL of its HTTP server."""
         return f"http://{self.address}:{self.port}"
 
     @property
     def is_running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process has not exited."""
         return self.process.poll() is None
 
-    def send_signal(self, number: int) -> None:
-        """Sends it a signal."""
-        self.process.send_signal(number)
+    def send_signal(self, signal_number: int) -> None:
+        """Sends a signal to the process."""
+        self.process.send_signal(signal_number)
 
     def pause(self) -> None:
-        """Suspends it."""
+        """Suspends the process with SIGSTOP."""
         self.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Lets it go on."""
+        """Resumes the process after pause()."""
         self.send_signal(signal.SIGCONT)
 
     def kill(self) -> None:
-        """Kills it at once."""
+        """Kills the process with SIGKILL and waits for it."""
         self.process.kill()
         self.process.wait()
 
     def terminate(self) -> None:
-        """Sends SIGTERM, once: a second one may strike as it shuts down."""
+        """Resumes the process and sends SIGTERM, at most once.
+
+        A second SIGTERM could interrupt the shutdown that the first one started.
+        """
         if self.stop_requested or not self.is_running:
             return
         self.stop_requested = True
@@ -84,7 +87,11 @@
         self.send_signal(signal.SIGTERM)
 
     def stop(self, *, timeout: float = STOP_TIMEOUT) -> int:
-        """Asks it to end, kills it after a while, and gives its exit status."""
+        """Stops the process and returns its exit status.
+
+        Args:
+            timeout: Seconds after SIGTERM until the process is killed.
+        """
         self.terminate()
         try:
             return self.process.wait(timeout)
@@ -92,45 +99,47 @@
             self.process.kill()
             return self.process.wait()
 
-    def call(self, method: str, path: str, body: Any = None) -> Any:
-        """Makes a JSON call to it, such as to its control routes."""
+    def request_json(self, method: str, path: str, body: Any = None) -> Any:
+        """Sends an HTTP request with a JSON body and returns the decoded response."""
         data = None if body is None else json.dumps(body).encode()
         request = Request(self.url + path, data=data, method=method)
-        # Stand-ins listen on loopback, so a proxy of the environment is ignored.
+        # Requests go to loopback addresses, so a proxy set in the environment is
+        # ignored.
         opener = build_opener(ProxyHandler({}))
-        with opener.open(request, timeout=CALL_TIMEOUT) as answer:
-            return json.loads(answer.read() or b"null")
+        with opener.open(request, timeout=REQUEST_TIMEOUT) as response:
+            return json.loads(response.read() or b"null")
 
     def add_fault(self, kind: str, **fields: Any) -> None:
-        """Switches on a fault of a stand-in."""
-        self.call("POST", "/control/faults", {"kind": kind, **fields})
+        """Enables a fault of a stand-in."""
+        self.request_json("POST", "/control/faults", {"kind": kind, **fields})
 
     def clear_faults(self) -> None:
-        """Switches off a stand-in's faults."""
-        self.call("DELETE", "/control/faults")
+        """Disables all faults of a stand-in."""
+        self.request_json("DELETE", "/control/faults")
 
-    def read_journal(self, what: str = "") -> list[dict[str, Any]]:
-        """Reads a stand-in's journal, or its entries of one kind."""
-        entries = self.call("GET", "/control/journal")["entries"]
-        return [entry for entry in entries if what in ("", entry["what"])]
+    def read_journal(self, entry_type: str = "") -> list[dict[str, Any]]:
+        """Returns the entries of a stand-in's journal, optionally of one type."""
+        entries = self.request_json("GET", "/control/journal")["entries"]
+        return [entry for entry in entries if entry_type in ("", entry["what"])]
 
     def read_log(self) -> str:
-        """Reads its standard output and error output."""
+        """Returns its standard output followed by its standard error."""
         paths = (self.output_path, self.log_path)
         return "".join(path.read_text(errors="replace") for path in paths)
 
-    def read_events(self, event: str = "") -> list[dict[str, Any]]:
-        """Reads an entry's event lines, or those of one event."""
+    def read_events(self, event_name: str = "") -> list[dict[str, Any]]:
+        """Returns the records of an entry's event log, optionally of one event."""
         lines = self.output_path.read_text(errors="replace").splitlines()
-        found = [json.loads(line) for line in lines if line.startswith("{")]
-        return [line for line in found if event in ("", line.get("event"))]
+        records = [json.loads(line) for line in lines if line.startswith("{")]
+        return [one for one in records if event_name in ("", one.get("event"))]
 
 
 class ProcessManager:
-    """Starts processes and ends all that it started.
+    """Starts child processes and stops them all on exit.
 
     Args:
-        environment: Variables to set besides those of this process.
+        environment: Environment variables to set in addition to those of this
+            process.
 
     Example:
         >>> with ProcessManager() as process_manager:
@@ -144,13 +153,13 @@
         self.processes: list[ManagedProcess] = []
 
     def __enter__(self) -> Self:
-        self._folder = tempfile.TemporaryDirectory(prefix="bench-")
-        self.folder = Path(self._folder.name)
+        self._temporary_directory = tempfile.TemporaryDirectory(prefix="bench-")
+        self.log_directory = Path(self._temporary_directory.name)
         return self
 
     def __exit__(self, *exception: object) -> None:
         self.stop_all()
-        self._folder.cleanup()
+        self._temporary_directory.cleanup()
 
     def start(
         self,
@@ -159,37 +168,39 @@
         name: str = "",
         address: str = "127.0.0.1",
         timeout: float = START_TIMEOUT,
-        is_standin: bool = True,
+        accepts_address: bool = True,
         worker_name: str = "",
         **flags: Any,
     ) -> ManagedProcess:
-        """Starts ``python -m module`` and waits until it is ready.
+        """Starts ``python -m module`` and waits until it reports that it is ready.
 
         Args:
-            module: The module, such as ``standins.store``.
-            arguments: Words before the flags, such as ``entry``.
-            name: A name for its log; the module and a number by default.
-            address: The IP number that it listens on.
-            timeout: Seconds to wait for the line that says it is ready.
-            is_standin: Whether it takes ``--address``; the product does not.
-            worker_name: For a worker, its name, passed as ``--name``.
-            flags: Flags; underscores become hyphens, True gives a bare flag.
+            module: Name of the module, such as ``standins.store``.
+            arguments: Positional arguments before the flags, such as ``entry``.
+            name: Name of the process; the worker name, or the module and a number,
+                by default.
+            address: IP address that it listens on.
+            timeout: Seconds to wait for the JSON line that reports readiness.
+            accepts_address: Whether the module has the flag ``--address``, as all
+                stand-ins do; an entry does not.
+            worker_name: Name of a worker, passed as ``--name``.
+            flags: Command-line flags, as format_flags() expects them.
 
         Returns:
             The process.
 
         Raises:
-            RuntimeError: It ended or was not ready in time.
+            RuntimeError: The process exited or was not ready in time.
         """
         name = name or worker_name or f"{module}-{len(self.processes)}"
         number = len(self.processes)
-        log_path = self.folder / f"{number}-{name.replace('/', '_')}.log"
+        log_path = self.log_directory / f"{number}-{name.replace('/', '_')}.log"
         output_path = log_path.with_suffix(".out")
-        if is_standin:
+        if accepts_address:
             flags = {"address": address, **flags}
         if worker_name:
             flags = {"name": worker_name, **flags}
-        command = [sys.executable, "-m", module, *arguments, *make_flags(flags)]
+        command = [sys.executable, "-m", module, *arguments, *format_flags(flags)]
         with log_path.open("wb") as log, output_path.open("wb") as output:
             process = subprocess.Popen(
                 command,
@@ -200,54 +211,63 @@
             )
         started = ManagedProcess(name, process, {}, log_path, address)
         self.processes.append(started)
-        started.ready = self._read_ready(started, timeout)
+        started.startup_info = self._read_startup_info(started, timeout)
         return started
 
     def stop_all(self) -> None:
-        """Asks all to end at once, then waits for each."""
+        """Sends SIGTERM to all processes, then waits until each has exited."""
         for process in self.processes:
             process.terminate()
         for process in self.processes:
             process.stop()
         self.processes.clear()
 
-    def _read_ready(self, started: ManagedProcess, timeout: float) -> dict[str, Any]:
+    def _read_startup_info(
+        self, started: ManagedProcess, timeout: float
+    ) -> dict[str, Any]:
         line = _read_line(started, timeout)
         try:
-            ready = json.loads(line)
+            startup_info = json.loads(line)
         except ValueError:
-            ready = None
-        if isinstance(ready, dict) and "port" in ready:
-            return ready
+            startup_info = None
+        if isinstance(startup_info, dict) and "port" in startup_info:
+            return startup_info
         started.kill()
         raise RuntimeError(
-            f"{started.name} was not ready; it printed {line!r} and logged:\n"
+            f"{started.name} did not start; it printed {line!r} and logged:\n"
             f"{started.read_log()}"
         )
 
 
 def _read_line(started: ManagedProcess, timeout: float) -> bytes:
-    """Reads the first line of a process's output."""
+    """Returns the first line of a process's standard output.
+
+    Returns what was printed so far if the process has exited, and nothing if the
+    timeout expires.
+    """
     deadline = time.monotonic() + timeout
     while time.monotonic() < deadline:
         line, newline, _ = started.output_path.read_bytes().partition(b"\n")
         if newline or not started.is_running:
             return line
-        time.sleep(READY_POLL)
+        time.sleep(READY_POLL_INTERVAL)
     return b""
 
 
-def make_flags(flags: dict[str, Any]) -> list[str]:
-    """Makes command-line words from flags; False and None leave a flag out.
+def format_flags(flags: dict[str, Any]) -> list[str]:
+    """Formats a mapping as command-line flags.
+
+    Underscores in names become hyphens. True adds the flag without a value; False
+    and None leave the flag out.
 
     Example:
-        >>> make_flags({"token_seconds": 0.1, "ignore_old_terms": True})
+        >>> format_flags({"token_seconds": 0.1, "ignore_old_terms": True})
         ['--token-seconds=0.1', '--ignore-old-terms']
     """
-    words = []
+    arguments = []
     for key, value in flags.items():
         if value is None or value is False:
             continue
         flag = f"--{key.replace('_', '-')}"
-        words.append(flag if value is True else f"{flag}={value}")
-    return words
+        arguments.append(flag if value is True else f"{flag}={value}")
+    return arguments
--- a/standins/store/__init__.py
+++ b/standins/store/__init__.py
@@ -1,11 +1,11 @@
-"""A stand-in for the platform's store and for its calls to one holder."""
+"""A stand-in for the platform's store and for the duty calls of a lease holder."""
 
 from standins.store._application import make_application
 from standins.store._topics import (
     AppendRejectedError,
     Partition,
     TopicStore,
-    split_records,
+    decode_records,
 )
 
 __all__ = [
@@ -13,5 +13,5 @@
     "AppendRejectedError",
     "TopicStore",
     "make_application",
-    "split_records",
+    "decode_records",
 ]
--- a/standins/store/_application.py
+++ b/standins/store/_application.py
@@ -10,38 +10,45 @@
 
 from standins.faults import FaultInjector
 from standins.server import Journal, drop_connection, make_control_routes
-from standins.store._topics import AppendRejectedError, TopicStore, split_records
+from standins.store._topics import AppendRejectedError, TopicStore, decode_records
 
-READ_HEAD = struct.Struct(">QQ")
-POLL = 0.01  # seconds between two looks of a read that waits
-MAX_WAIT = 30.0  # seconds
-PAGE = 500
-SHOWN_TOPICS = frozenset({"keyed.configuration", "keyed.versions", "duties"})
+READ_HEADER = struct.Struct(">QQ")
+POLL_INTERVAL = 0.01  # seconds between two checks of a long poll
+MAX_POLL_WAIT = 30.0  # seconds
+PAGE_SIZE = 500  # keys
+JOURNALED_TOPICS = frozenset({"keyed.configuration", "keyed.versions", "duties"})
 
 
 class StoreHandler(web.RequestHandler):
-    """Applies the scripted faults around each call.
+    """Base class of the routes, which injects faults into each request.
 
-    Kinds: ``busy`` (503), ``many`` (429), ``reset`` (connection dropped, nothing
-    done), ``silent`` (no answer for ``seconds``, nothing done), ``slow`` (waits
-    ``seconds``), ``lose_answer`` (done, no answer) and ``late`` (no answer; done
-    ``seconds`` later). The target is ``append``, ``read`` or ``newest``.
+    Kinds of faults:
+
+    - ``busy``: status 503.
+    - ``many``: status 429.
+    - ``reset``: the connection is closed without effect.
+    - ``silent``: the connection is closed after ``seconds``, without effect.
+    - ``slow``: the request is handled after ``seconds``.
+    - ``lose_answer``: the request takes effect, but no response is sent.
+    - ``late``: the request takes effect after ``seconds``, and no response is sent.
+
+    The target of a fault is ``append``, ``read``, ``newest`` or ``duty``.
     """
 
     target = ""
 
     def initialize(
-        self, log: TopicStore, faults: FaultInjector, journal: Journal
+        self, topics: TopicStore, faults: FaultInjector, journal: Journal
     ) -> None:
-        """Stores what the handlers share."""
-        self.log = log
+        """Stores the objects that all handlers share."""
+        self.topics = topics
         self.faults = faults
         self.journal = journal
 
     async def prepare(self) -> None:
-        """Counts the call and applies the faults that come before the effect."""
-        name = f"calls_{self.target or 'other'}"
-        self.journal.figures[name] = self.journal.figures.get(name, 0) + 1
+        """Counts the request and injects the faults that precede its effect."""
+        counter = f"calls_{self.target or 'other'}"
+        self.journal.counters[counter] = self.journal.counters.get(counter, 0) + 1
         if fault := self.faults.consume("slow", self.target):
             await asyncio.sleep(fault.seconds)
         if self.faults.consume("busy", self.target):
@@ -57,17 +64,17 @@
             raise web.Finish
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Writes a refusal."""
+        """Writes an error response."""
         self.finish(json.dumps({"status": status_code}))
 
 
 class AppendHandler(StoreHandler):
-    """``POST /-/log-append``."""
+    """``POST /-/log-append``: appends records to a partition."""
 
     target = "append"
 
     async def post(self) -> None:
-        """Appends the body's records."""
+        """Appends the records of the body."""
         if fault := self.faults.consume("late", self.target):
             asyncio.get_running_loop().call_later(fault.seconds, self._append)
             await asyncio.sleep(fault.seconds)
@@ -82,97 +89,100 @@
 
     def _append(self) -> tuple[int, dict[str, object]]:
         topic = self.get_argument("topic")
-        partition = self.log.get(topic, int(self.get_argument("part")))
-        at = self.get_argument("at", None)
+        partition = self.topics.get(topic, int(self.get_argument("part")))
+        expected_offset = self.get_argument("at", None)
         try:
             offset = partition.append(
-                split_records(self.request.body),
-                at=int(at) if at is not None else None,
+                decode_records(self.request.body),
+                at=(int(expected_offset) if expected_offset is not None else None),
                 producer=self.get_argument("producer", None),
                 epoch=int(self.get_argument("epoch", "0")),
                 sequence=int(self.get_argument("sequence", "0")),
             )
-        except AppendRejectedError as refused:
-            return refused.status, refused.fields
-        # Only what checkers look for: progress and presence would fill the journal.
-        if topic in SHOWN_TOPICS:
+        except AppendRejectedError as error:
+            return error.status, error.fields
+        # Only topics that tests check: progress and presence records would fill the
+        # journal.
+        if topic in JOURNALED_TOPICS:
             data = self.request.body.decode(errors="replace")
             self.journal.add("append", topic=topic, offset=offset, data=data)
         return 200, {"offset": offset, "end": partition.end}
 
 
 class ReadHandler(StoreHandler):
-    """``GET /-/log-read``."""
+    """``GET /-/log-read``: reads records of a partition."""
 
     target = "read"
 
     async def get(self) -> None:
-        """Reads records, waiting for one if asked to."""
-        partition = self.log.get(
+        """Writes the records from an offset on; ``waitMs`` requests a long poll."""
+        partition = self.topics.get(
             self.get_argument("topic"), int(self.get_argument("part"))
         )
         start = int(self.get_argument("from"))
-        wait = min(MAX_WAIT, int(self.get_argument("waitMs", "0")) / 1000)
-        until = asyncio.get_running_loop().time() + wait
-        while start >= partition.end and asyncio.get_running_loop().time() < until:
-            await asyncio.sleep(POLL)
+        wait = min(MAX_POLL_WAIT, int(self.get_argument("waitMs", "0")) / 1000)
+        deadline = asyncio.get_running_loop().time() + wait
+        while start >= partition.end and asyncio.get_running_loop().time() < deadline:
+            await asyncio.sleep(POLL_INTERVAL)
         if start < partition.first:
             self.set_status(410)
             self.write({"first": partition.first})
             return
         _, records = partition.read(start)
-        self.write(READ_HEAD.pack(partition.end, partition.first) + records)
+        self.write(READ_HEADER.pack(partition.end, partition.first) + records)
 
 
-class NewestHandler(StoreHandler):
-    """``GET /-/log-newest``."""
+class LatestHandler(StoreHandler):
+    """``GET /-/log-newest``: reads the latest record of each key."""
 
     target = "newest"
 
     def get(self) -> None:
-        """Reads a page of the newest record of each key."""
-        partition = self.log.get(
+        """Writes one page of records, in the order of their keys."""
+        partition = self.topics.get(
             self.get_argument("topic"), int(self.get_argument("part"))
         )
         after = self.get_argument("after", "").encode()
         keys = sorted(key for key in partition.newest if key > after)
         items = []
-        for key in keys[:PAGE]:
+        for key in keys[:PAGE_SIZE]:
             offset, value = partition.newest[key]
-            text = base64.b64encode(value).decode()
-            items.append({"key": key.decode(), "value": text, "offset": offset})
-        more = len(keys) > PAGE
-        self.write({"items": items, "hasMore": more, "end": partition.end})
+            encoded_value = base64.b64encode(value).decode()
+            items.append(
+                {"key": key.decode(), "value": encoded_value, "offset": offset}
+            )
+        has_more = len(keys) > PAGE_SIZE
+        self.write({"items": items, "hasMore": has_more, "end": partition.end})
 
 
 class CompactHandler(StoreHandler):
-    """``POST /control/compact``: drops the history of all partitions."""
+    """``POST /control/compact``: truncates all partitions."""
 
     def post(self) -> None:
-        """Drops history."""
-        for partition in self.log.partitions.values():
+        """Removes all records; the latest record of each key stays readable."""
+        for partition in self.topics.partitions.values():
             partition.drop_history()
         self.write({})
 
 
-class DropHandler(StoreHandler):
-    """``POST /control/drop``: removes a worker's entry, as one that ran out."""
+class ExpireWorkerHandler(StoreHandler):
+    """``POST /control/drop``: removes a worker's record as if it had expired."""
 
     def post(self) -> None:
-        """Drops a key of the workers' topic."""
-        name = json.loads(self.request.body)["key"].encode()
-        partition = self.log.get("keyed.servers", 0)
-        partition.append([bytes([len(name)]) + name])
+        """Appends a record without a value for the worker's key."""
+        key = json.loads(self.request.body)["key"].encode()
+        partition = self.topics.get("keyed.servers", 0)
+        partition.append([bytes([len(key)]) + key])
         self.write({})
 
 
 class DutyHandler(StoreHandler):
-    """``POST /usage`` and ``POST /scale``: the calls that one holder makes."""
+    """``POST /usage`` and ``POST /scale``: the duty calls of a lease holder."""
 
     target = "duty"
 
     def post(self) -> None:
-        """Notes a call with its holder and term, and may lose its answer."""
+        """Records the request in the journal with its lease holder and term."""
         self.journal.add(
             self.request.path.strip("/"),
             holder=self.request.headers.get("Duty-Holder", ""),
@@ -186,29 +196,34 @@
 
 
 def make_application(*, retention: float = 20.0) -> web.Application:
-    """Makes the store's stand-in.
+    """Creates the store's stand-in.
 
     Args:
-        retention: Seconds for which records are kept.
+        retention: Seconds after which records are removed.
 
     Returns:
-        The application; its ``log`` attribute is what tests may look into.
+        The application. Tests may use its attributes ``log`` (the TopicStore),
+        ``faults`` and ``journal``.
     """
-    log, faults, journal = TopicStore(retention=retention), FaultInjector(), Journal()
-    shared = {"log": log, "faults": faults, "journal": journal}
+    topics, faults, journal = (
+        TopicStore(retention=retention),
+        FaultInjector(),
+        Journal(),
+    )
+    shared = {"topics": topics, "faults": faults, "journal": journal}
     application = web.Application(
         [
             (r"/-/log-append", AppendHandler, shared),
             (r"/-/log-read", ReadHandler, shared),
-            (r"/-/log-newest", NewestHandler, shared),
+            (r"/-/log-newest", LatestHandler, shared),
             (r"/control/compact", CompactHandler, shared),
-            (r"/control/drop", DropHandler, shared),
+            (r"/control/drop", ExpireWorkerHandler, shared),
             (r"/usage", DutyHandler, shared),
             (r"/scale", DutyHandler, shared),
             *make_control_routes(faults, journal),
         ],
         log_function=lambda _: None,
     )
-    application.log, application.faults = log, faults  # type: ignore[attr-defined]
+    application.log, application.faults = topics, faults  # type: ignore[attr-defined]
     application.journal = journal  # type: ignore[attr-defined]
     return application
--- a/standins/store/_topics.py
+++ b/standins/store/_topics.py
@@ -1,35 +1,51 @@
-"""The log of the store's stand-in: topics, partitions, conditions, producers."""
+"""Topics and partitions of the store's stand-in, held in memory."""
 
 import struct
 import time
 from collections import deque
 from dataclasses import dataclass, field
 
-LENGTH = struct.Struct(">I")
-REMEMBERED_APPENDS = 5
+LENGTH_PREFIX = struct.Struct(">I")
+DEDUPLICATION_WINDOW = 5  # appends of a producer
 
 
 @dataclass(slots=True)
 class ProducerState:
-    """A producer's newest epoch and sequence, and its last answers."""
+    """Latest epoch and sequence of a producer, and its recent appends.
+
+    Attributes:
+        epoch: Latest epoch.
+        last_sequence: Sequence of the last append in this epoch, or None.
+        recent_appends: Sequence and first offset of the last appends; a retry of one
+            of them gets the same offset again.
+    """
 
     epoch: int
-    sequence: int | None = None
-    answers: deque[tuple[int, int]] = field(
-        default_factory=lambda: deque(maxlen=REMEMBERED_APPENDS)
+    last_sequence: int | None = None
+    recent_appends: deque[tuple[int, int]] = field(
+        default_factory=lambda: deque(maxlen=DEDUPLICATION_WINDOW)
     )
 
 
 @dataclass(slots=True)
 class AppendRejectedError(Exception):
-    """An append whose condition does not hold."""
+    """Raised for an append whose conditions do not hold.
+
+    Attributes:
+        status: HTTP status of the response.
+        fields: JSON fields of the response.
+    """
 
     status: int
     fields: dict[str, object]
 
 
 class Partition:
-    """One partition.
+    """An append-only sequence of records.
+
+    Args:
+        keyed: Whether each record has a key, so that the latest one of each key
+            is kept.
 
     Example:
         >>> partition = Partition(keyed=False)
@@ -48,7 +64,7 @@
 
     @property
     def end(self) -> int:
-        """The offset that the next record gets."""
+        """Offset of the next record."""
         return self.first + len(self.records)
 
     def append(
@@ -60,10 +76,20 @@
         epoch: int = 0,
         sequence: int = 0,
     ) -> int:
-        """Appends records, all or none, and gives the first offset.
+        """Appends all records, or none of them.
+
+        Args:
+            records: The records.
+            at: If given, the append succeeds only at this end offset.
+            producer: Name of a producer, whose repeated appends are deduplicated.
+            epoch: Epoch of the producer; one below the latest is rejected.
+            sequence: Sequence of this append in the epoch.
+
+        Returns:
+            Offset of the first record; for a duplicate, that of the first append.
 
         Raises:
-            AppendRejectedError: The end, epoch or sequence is not the one named.
+            AppendRejectedError: The offset, epoch or sequence is not as expected.
         """
         if at is not None and at != self.end:
             raise AppendRejectedError(412, {"end": self.end})
@@ -74,18 +100,22 @@
                 raise AppendRejectedError(409, {"why": "fenced"})
             if epoch > state.epoch:
                 state = self.producers[producer] = ProducerState(epoch)
-            for known, offset in state.answers:
-                if known == sequence:
+            for recent_sequence, offset in state.recent_appends:
+                if recent_sequence == sequence:
                     return offset
-            expected = sequence if state.sequence is None else state.sequence + 1
-            if records and sequence != expected:
-                raise AppendRejectedError(409, {"why": "seq", "sequence": expected})
+            expected_sequence = (
+                sequence if state.last_sequence is None else state.last_sequence + 1
+            )
+            if records and sequence != expected_sequence:
+                raise AppendRejectedError(
+                    409, {"why": "seq", "sequence": expected_sequence}
+                )
         offset = self.end
         for record in records:
             self._add(record)
         if state is not None and records:
-            state.sequence = sequence
-            state.answers.append((sequence, offset))
+            state.last_sequence = sequence
+            state.recent_appends.append((sequence, offset))
         return offset
 
     def _add(self, record: bytes) -> None:
@@ -98,50 +128,55 @@
         self.records.append((time.monotonic(), record))
 
     def read(self, start: int) -> tuple[int, bytes]:
-        """Reads from an offset on; gives the count and the encoded records."""
-        chosen = [record for _, record in self.records[start - self.first :]]
-        encoded = b"".join(LENGTH.pack(len(one)) + one for one in chosen)
-        return len(chosen), encoded
+        """Returns the number of records from an offset on, and the encoded records."""
+        selected = [record for _, record in self.records[start - self.first :]]
+        encoded = b"".join(LENGTH_PREFIX.pack(len(one)) + one for one in selected)
+        return len(selected), encoded
 
-    def drop_history(self, before: int | None = None) -> None:
-        """Drops records; the newest of each key is kept for itself."""
-        before = self.end if before is None else min(before, self.end)
-        if before > self.first:
-            del self.records[: before - self.first]
-            self.first = before
+    def drop_history(self, before_offset: int | None = None) -> None:
+        """Removes the records below an offset, or all records.
+
+        The latest record of each key stays in newest.
+        """
+        before_offset = (
+            self.end if before_offset is None else min(before_offset, self.end)
+        )
+        if before_offset > self.first:
+            del self.records[: before_offset - self.first]
+            self.first = before_offset
 
 
 class TopicStore:
-    """All topics.
+    """All topics of the store.
 
     Args:
-        retention: Seconds for which records are kept.
+        retention: Seconds after which records are removed.
     """
 
     def __init__(self, *, retention: float = 20.0) -> None:
         self.retention = retention
         self.partitions: dict[tuple[str, int], Partition] = {}
 
-    def get(self, topic: str, part: int) -> Partition:
-        """Gives a partition, made on first use, without expired records."""
-        key = (topic, part)
+    def get(self, topic: str, partition_index: int) -> Partition:
+        """Returns a partition, created on first use, without its expired records."""
+        key = (topic, partition_index)
         if key not in self.partitions:
             self.partitions[key] = Partition(keyed=topic.startswith("keyed."))
         partition = self.partitions[key]
-        oldest = time.monotonic() - self.retention
-        expired = sum(at < oldest for at, _ in partition.records)
+        cutoff = time.monotonic() - self.retention
+        expired = sum(appended_at < cutoff for appended_at, _ in partition.records)
         if expired:
             partition.drop_history(partition.first + expired)
         return partition
 
 
-def split_records(body: bytes) -> list[bytes]:
-    """Splits an append's body into records."""
+def decode_records(body: bytes) -> list[bytes]:
+    """Decodes the length-prefixed records in the body of an append request."""
     records = []
     position = 0
     while position < len(body):
-        (length,) = LENGTH.unpack_from(body, position)
-        position += LENGTH.size
+        (length,) = LENGTH_PREFIX.unpack_from(body, position)
+        position += LENGTH_PREFIX.size
         records.append(body[position : position + length])
         position += length
     return records
--- a/standins/tcp_proxy.py
+++ b/standins/tcp_proxy.py
@@ -1,53 +1,54 @@
-"""A TCP relay that cuts, delays and silences connections, for tests of the network."""
+"""A TCP proxy that injects network faults into connections, for tests."""
 
 import asyncio
 import contextlib
 import threading
 from typing import Self
 
-READ_BYTES = 65536
-CALL_TIMEOUT = 5.0  # seconds
-SILENCE_POLL = 0.05  # seconds
+MAX_READ_BYTES = 65536
+OPERATION_TIMEOUT = 5.0  # seconds for a call into the proxy's thread
+BLOCKED_POLL_INTERVAL = 0.05  # seconds
 TO_TARGET = "to_target"
 FROM_TARGET = "from_target"
 
 
 class FaultyProxy:
-    """Passes bytes between its callers and one target, until it is told to cut.
+    """Forwards TCP connections to one target and injects faults on request.
 
-    It runs in a thread of its own, so that a blocked test does not hold it up.
+    The proxy runs in its own thread, so that a blocked test does not block it.
 
     Args:
-        target: The target's IP number.
-        target_port: The target's TCP port.
-        address: The IP number to listen on.
+        target_address: IP address of the target.
+        target_port: TCP port of the target.
+        address: IP address to listen on.
 
     Attributes:
-        port: The TCP port that it listens on.
-        disconnect_count: How often a connection was cut at a byte.
-        passed: Bytes passed on, by direction.
-        delay_seconds: Seconds for which each part is held back.
-        blocked_directions: Directions in which nothing arrives; what is sent waits.
+        port: TCP port that the proxy listens on.
+        disconnect_count: Number of connections closed by disconnect_after().
+        forwarded_bytes: Number of bytes forwarded, by direction.
+        delay_seconds: Delay of each forwarded chunk of bytes.
+        blocked_directions: Directions in which bytes are held back until the
+            direction is unblocked.
 
     Example:
-        >>> with FaultyProxy("127.0.0.1", 9) as relay:
-        ...     relay.port > 0
+        >>> with FaultyProxy("127.0.0.1", 9) as proxy:
+        ...     proxy.port > 0
         True
     """
 
     def __init__(
-        self, target: str, target_port: int, *, address: str = "127.0.0.1"
+        self, target_address: str, target_port: int, *, address: str = "127.0.0.1"
     ) -> None:
-        self.target = target
+        self.target_address = target_address
         self.target_port = target_port
         self.address = address
         self.port = 0
         self.disconnect_count = 0
-        self.passed = {TO_TARGET: 0, FROM_TARGET: 0}
+        self.forwarded_bytes = {TO_TARGET: 0, FROM_TARGET: 0}
         self._is_open = True
         self.delay_seconds = 0.0
         self.blocked_directions: frozenset[str] = frozenset()
-        self._left: dict[str, int] = {}
+        self._bytes_until_disconnect: dict[str, int] = {}
         self._writers: set[asyncio.StreamWriter] = set()
 
     def __enter__(self) -> Self:
@@ -61,36 +62,36 @@
         self.disconnect()
         self._run(self._close())
         self._loop.call_soon_threadsafe(self._loop.stop)
-        self._thread.join(CALL_TIMEOUT)
+        self._thread.join(OPERATION_TIMEOUT)
         self._loop.close()
 
     @property
     def url(self) -> str:
-        """Where it listens, for a target that speaks HTTP."""
+        """Base URL of the proxy, for a target that is an HTTP server."""
         return f"http://{self.address}:{self.port}"
 
     def disconnect(self) -> None:
-        """Cuts all connections, and each new one at once."""
-        self._run(self._cut())
+        """Aborts all connections, and from now on each new one when it opens."""
+        self._run(self._abort_connections())
 
     def restore(self) -> None:
-        """Lets connections through again, at once and both ways."""
+        """Accepts connections again, without delay or blocked directions."""
         self._is_open = True
         self.delay_seconds = 0.0
         self.blocked_directions = frozenset()
 
-    def reset(self) -> None:
-        """Resets the connections that are open; new ones go through."""
-        self._run(self._cut())
+    def reset_connections(self) -> None:
+        """Aborts the open connections; new ones are accepted."""
+        self._run(self._abort_connections())
         self._is_open = True
 
-    def disconnect_after(self, count: int, direction: str) -> None:
-        """Cuts one connection after so many more bytes in a direction."""
-        self._left[direction] = count
+    def disconnect_after(self, byte_count: int, direction: str) -> None:
+        """Closes one connection after a number of further bytes in a direction."""
+        self._bytes_until_disconnect[direction] = byte_count
 
     def _run(self, coroutine):  # type: ignore[no-untyped-def]
         future = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
-        return future.result(CALL_TIMEOUT)
+        return future.result(OPERATION_TIMEOUT)
 
     async def _listen(self) -> int:
         self._server = await asyncio.start_server(self._serve, self.address, 0)
@@ -103,7 +104,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _cut(self) -> None:
+    async def _abort_connections(self) -> None:
         self._is_open = False
         for writer in list(self._writers):
             writer.transport.abort()
@@ -115,51 +116,51 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(
-                self.target, self.target_port
+            target_reader, target_writer = await asyncio.open_connection(
+                self.target_address, self.target_port
             )
         except OSError:
             writer.transport.abort()
             return
-        ends = {writer, far_writer}
-        self._writers |= ends
+        writers = {writer, target_writer}
+        self._writers |= writers
         try:
             await asyncio.gather(
-                self._pass_on(reader, far_writer, TO_TARGET),
-                self._pass_on(far_reader, writer, FROM_TARGET),
+                self._forward(reader, target_writer, TO_TARGET),
+                self._forward(target_reader, writer, FROM_TARGET),
             )
         except asyncio.CancelledError:
-            # The relay itself ends.
+            # The proxy is closing.
             return
         finally:
-            self._writers -= ends
-            for end in ends:
-                end.transport.abort()
+            self._writers -= writers
+            for one in writers:
+                one.transport.abort()
 
-    async def _pass_on(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         direction: str,
     ) -> None:
         with contextlib.suppress(OSError):
-            while data := await reader.read(READ_BYTES):
-                left = self._left.get(direction)
-                cut_here = left is not None and len(data) >= left
-                if cut_here:
-                    data = data[:left]
-                    del self._left[direction]
-                elif left is not None:
-                    self._left[direction] = left - len(data)
+            while data := await reader.read(MAX_READ_BYTES):
+                remaining = self._bytes_until_disconnect.get(direction)
+                is_disconnect_due = remaining is not None and len(data) >= remaining
+                if is_disconnect_due:
+                    data = data[:remaining]
+                    del self._bytes_until_disconnect[direction]
+                elif remaining is not None:
+                    self._bytes_until_disconnect[direction] = remaining - len(data)
                 if self.delay_seconds:
                     await asyncio.sleep(self.delay_seconds)
                 while direction in self.blocked_directions:
-                    await asyncio.sleep(SILENCE_POLL)
+                    await asyncio.sleep(BLOCKED_POLL_INTERVAL)
                 writer.write(data)
                 await writer.drain()
-                self.passed[direction] += len(data)
-                if cut_here:
+                self.forwarded_bytes[direction] += len(data)
+                if is_disconnect_due:
                     self.disconnect_count += 1
                     break
-        # The bytes before the cut still arrive; those after it do not.
+        # Closing, unlike aborting, still delivers the bytes written so far.
         writer.close()
--- a/standins/tests/test_standins.py
+++ b/standins/tests/test_standins.py
@@ -1,4 +1,7 @@
-"""What checkers rely on: that the stand-ins fail as scripted and tell all."""
+"""Tests that stand-ins inject the requested faults and record all requests.
+
+The checks of the system tests rely on both.
+"""
 
 import asyncio
 import json
@@ -11,21 +14,21 @@
 
 from standins.process import ProcessManager
 from standins.server import listen
-from standins.store import make_application as make_store_client
+from standins.store import make_application as make_store
 from standins.worker import WorkerState, generate_tokens
 from standins.worker import make_application as make_worker
 
 PROMPT = "set the teeth of a ripping blade"
-APPEND = "/-/log-append?topic=t&part=0"
+APPEND_PATH = "/-/log-append?topic=t&part=0"
 
 
-async def call(url, method, path, body=None, **headers):
-    answer = await AsyncHTTPClient().fetch(
+async def send_request(url, method, path, body=None, **headers):
+    response = await AsyncHTTPClient().fetch(
         url + path, method=method, body=body, headers=headers, raise_error=False
     )
-    if answer.code == 599:
-        answer.rethrow()
-    return answer
+    if response.code == 599:
+        response.rethrow()
+    return response
 
 
 def serve(application):
@@ -33,22 +36,24 @@
 
 
 async def add_fault(url, **fields):
-    await call(url, "POST", "/control/faults", json.dumps(fields))
+    await send_request(url, "POST", "/control/faults", json.dumps(fields))
 
 
-async def read_journal(url, what):
-    answer = await call(url, "GET", "/control/journal")
-    entries = json.loads(answer.body)["entries"]
-    return [entry for entry in entries if entry["what"] == what]
+async def read_journal(url, entry_type):
+    response = await send_request(url, "GET", "/control/journal")
+    entries = json.loads(response.body)["entries"]
+    return [entry for entry in entries if entry["what"] == entry_type]
 
 
-async def complete(url, **headers):
+async def send_completion(url, **headers):
     body = json.dumps({"prompt": PROMPT, "max_tokens": 8, "seed": 3})
-    return await call(url, "POST", "/v1/completions", body, Model="llm", **headers)
+    return await send_request(
+        url, "POST", "/v1/completions", body, Model="llm", **headers
+    )
 
 
-def read_tokens(answer):
-    lines = answer.body.decode().splitlines()
+def parse_tokens(response):
+    lines = response.body.decode().splitlines()
     return [line.removeprefix("data: ") for line in lines if line.startswith("data:")]
 
 
@@ -57,30 +62,30 @@
     return state, serve(make_worker(state))
 
 
-def test_an_engine_makes_the_same_text_whole_and_resumed():
-    async def go():
+def test_resumed_stream_continues_the_same_text():
+    async def run():
         _, url = start_engine()
-        whole = await complete(url)
-        rest = await complete(url, **{"Last-Event-Id": "5"})
-        return whole, rest, await read_journal(url, "run")
-
-    whole, rest, runs = asyncio.run(go())
-    wanted = generate_tokens(PROMPT, 3, 8)
-    assert read_tokens(whole) == wanted
-    assert read_tokens(rest) == wanted[5:]
+        complete = await send_completion(url)
+        resumed = await send_completion(url, **{"Last-Event-Id": "5"})
+        return complete, resumed, await read_journal(url, "run")
+
+    complete, resumed, runs = asyncio.run(run())
+    expected = generate_tokens(PROMPT, 3, 8)
+    assert parse_tokens(complete) == expected
+    assert parse_tokens(resumed) == expected[5:]
     assert [run["versions"] for run in runs] == [[4] * 8, [4] * 3]
     assert all(run["finished"] for run in runs)
 
 
-def test_a_cut_stream_shows_in_the_journal():
-    async def go():
+def test_disconnected_stream_is_recorded_as_unfinished():
+    async def run():
         _, url = start_engine()
         await add_fault(url, kind="cut", value=3, count=1)
         with pytest.raises(HTTPStreamClosedError):
-            await complete(url)
+            await send_completion(url)
         return await read_journal(url, "run")
 
-    (run,) = asyncio.run(go())
+    (run,) = asyncio.run(run())
     assert not run["finished"]
     assert len(run["versions"]) == 3
 
@@ -88,67 +93,69 @@
 @pytest.mark.parametrize(
     ("fault", "status"), [("full", 503), ("error", 500), ("impossible", 422)]
 )
-def test_a_worker_fails_as_told(fault, status):
-    async def go():
+def test_worker_fault_sets_the_status_once(fault, status):
+    async def run():
         _, url = start_engine()
         await add_fault(url, kind=fault, count=1)
-        first = await call(url, "POST", "/x", "{}")
-        return first, await call(url, "POST", "/x", "{}")
+        first = await send_request(url, "POST", "/x", "{}")
+        return first, await send_request(url, "POST", "/x", "{}")
 
-    first, second = asyncio.run(go())
+    first, second = asyncio.run(run())
     assert (first.code, second.code) == (status, 200)
     assert ("Not-Run" in first.headers) is (fault == "full")
 
 
-def test_another_worker_is_refused():
-    async def go():
+def test_request_for_another_worker_is_rejected():
+    async def run():
         _, url = start_engine()
-        answer = await call(url, "POST", "/x", "{}", **{"Expect-Instance": "m2"})
-        return answer, await read_journal(url, "run")
+        response = await send_request(
+            url, "POST", "/x", "{}", **{"Expect-Instance": "m2"}
+        )
+        return response, await read_journal(url, "run")
 
-    answer, runs = asyncio.run(go())
-    assert (answer.code, runs) == (421, [])
+    response, runs = asyncio.run(run())
+    assert (response.code, runs) == (421, [])
 
 
-def test_an_order_needs_the_count_of_earlier_ones():
-    async def go():
+def test_load_order_requires_the_number_of_earlier_orders():
+    async def run():
         state, url = start_engine()
         order = {"model": "llm", "version": 5, "holder": "e1", "fence": 7}
         codes = []
-        for expected in (1, 0):
-            body = json.dumps({**order, "precondition": expected})
-            codes.append((await call(url, "POST", "/-/order", body)).code)
+        for precondition in (1, 0):
+            body = json.dumps({**order, "precondition": precondition})
+            codes.append((await send_request(url, "POST", "/-/order", body)).code)
         while state.versions["llm"] != 5:
             await asyncio.sleep(0.01)
-        again = await call(url, "POST", "/-/order", json.dumps(order))
-        return [*codes, again.code], await read_journal(url, "order")
+        repeated = await send_request(url, "POST", "/-/order", json.dumps(order))
+        return [*codes, repeated.code], await read_journal(url, "order")
 
-    codes, orders = asyncio.run(go())
+    codes, orders = asyncio.run(run())
     assert codes == [409, 202, 200]
     assert len(orders) == 1
 
 
-def pack(*records):
+def encode_records(*records):
     return b"".join(struct.pack(">I", len(one)) + one for one in records)
 
 
-def test_a_lost_answer_takes_effect_and_a_refusal_does_not():
-    async def go():
-        application = make_store_client()
+def test_append_takes_effect_if_its_response_is_lost_but_not_if_it_is_refused():
+    async def run():
+        application = make_store()
         url = serve(application)
         await add_fault(url, kind="busy", target="append", count=1)
-        refused = await call(url, "POST", APPEND, pack(b"one"))
+        refused = await send_request(url, "POST", APPEND_PATH, encode_records(b"one"))
         await add_fault(url, kind="lose_answer", target="append", count=1)
         with pytest.raises(HTTPStreamClosedError):
-            await call(url, "POST", APPEND, pack(b"two"))
+            await send_request(url, "POST", APPEND_PATH, encode_records(b"two"))
         return refused.code, application.log.get("t", 0).end
 
-    assert asyncio.run(go()) == (503, 1)
+    assert asyncio.run(run()) == (503, 1)
 
 
-def test_conditions_and_producers_are_checked():
-    async def go():
-        url = serve(make_store_client())
+def test_append_checks_offset_epoch_and_sequence():
+    async def run():
+        url = serve(make_store())
         codes = []
         for query in (
             "&at=0",
@@ -159,11 +166,13 @@
             "&producer=p&epoch=0&sequence=1",
             "&producer=p&epoch=2&sequence=9",
         ):
-            answer = await call(url, "POST", APPEND + query, pack(b"r"))
-            codes.append((answer.code, json.loads(answer.body).get("offset")))
+            response = await send_request(
+                url, "POST", APPEND_PATH + query, encode_records(b"r")
+            )
+            codes.append((response.code, json.loads(response.body).get("offset")))
         return codes
 
-    assert asyncio.run(go()) == [
+    assert asyncio.run(run()) == [
         (200, 0),
         (412, None),
         (200, 1),
@@ -174,7 +183,7 @@
     ]
 
 
-def test_a_worker_registers_drains_and_leaves():
+def test_worker_registers_at_start_and_deregisters_at_stop():
     with ProcessManager() as process_manager:
         store = process_manager.start("standins.store")
         worker = process_manager.start(
@@ -188,10 +197,10 @@
         )
         path = "/-/log-newest?topic=keyed.servers&part=0"
 
-        def wait_for(wanted):
+        def wait_for(condition):
             deadline = time.monotonic() + 10
             while time.monotonic() < deadline:
-                if wanted(store.call("GET", path)["items"]):
+                if condition(store.request_json("GET", path)["items"]):
                     return True
                 time.sleep(0.02)
             return False
--- a/standins/worker/__main__.py
+++ b/standins/worker/__main__.py
@@ -1,7 +1,7 @@
 """Starts a worker's stand-in: ``python -m standins.worker``.
 
-It registers itself in the store. After SIGTERM it says that it drains, serves for
-``--drain-seconds`` more and ends.
+The worker registers itself in the store. After SIGTERM it registers as draining,
+serves requests for another ``--drain-seconds``, removes its registration and exits.
 """
 
 import asyncio
@@ -14,14 +14,16 @@
 
 
 def parse_flags():  # noqa: ANN201
-    """Parses the flags."""
+    """Parses the command-line flags."""
     parser = make_argument_parser("worker")
     parser.add_argument("--name", required=True)
     parser.add_argument("--service", required=True)
     parser.add_argument("--zone", required=True)
-    parser.add_argument("--store", required=True, help="the store's URL")
+    parser.add_argument("--store", required=True, help="base URL of the store")
     parser.add_argument("--slots", type=int, default=8)
-    parser.add_argument("--models", default="", help="names, separated by commas")
+    parser.add_argument(
+        "--models", default="", help="names of models, separated by commas"
+    )
     parser.add_argument("--version", type=int, default=1)
     parser.add_argument("--event-seconds", type=float, default=0.002)
     parser.add_argument("--work-seconds", type=float, default=0.002)
@@ -30,18 +32,20 @@
     parser.add_argument("--cold-seconds", type=float, default=0.0)
     parser.add_argument("--drain-seconds", type=float, default=2.0)
     parser.add_argument(
-        "--advertise", default="", help="IP:port to register; its own by default"
+        "--advertise",
+        default="",
+        help="IP:port to register (default: the address that the worker listens on)",
     )
     return parser.parse_args()
 
 
 async def serve() -> None:
-    """Serves until told to stop, then drains."""
+    """Runs the worker until SIGTERM or SIGINT, then drains it."""
     flags = parse_flags()
     loop = asyncio.get_running_loop()
-    stopped = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     state = WorkerState(
         flags.name,
         slots=flags.slots,
@@ -56,18 +60,18 @@
         flags.store,
         address=flags.advertise or f"{flags.address}:{port}",
         service=flags.service,
-        zone=flags.zone,
+        failure_domain=flags.zone,
         heartbeat=flags.heartbeat,
         cold_seconds=flags.cold_seconds,
     )
     print(json.dumps({"ready": True, "port": port}), flush=True)
-    beating = asyncio.create_task(registration.run())
-    await stopped.wait()
+    heartbeat_task = asyncio.create_task(registration.run())
+    await stop_requested.wait()
     registration.is_draining = True
-    await registration.write()
+    await registration.register()
     await asyncio.sleep(flags.drain_seconds)
-    beating.cancel()
-    await registration.remove()
+    heartbeat_task.cancel()
+    await registration.deregister()
 
 
 if __name__ == "__main__":
--- a/standins/worker/_application.py
+++ b/standins/worker/_application.py
@@ -1,4 +1,4 @@
-"""A worker's stand-in: plain requests, items of batch jobs, loads of weights."""
+"""HTTP routes of a worker's stand-in: requests, token streams and load orders."""
 
 import asyncio
 import json
@@ -10,18 +10,31 @@
 from standins.faults import FaultInjector
 from standins.server import (
     Journal,
+    disable_nagle,
     drop_connection,
     make_control_routes,
-    send_at_once,
 )
-from standins.worker._tokens import make_token, read_prompt
+from standins.worker._tokens import generate_token, parse_prompt_request
 
-LOAD_SECONDS = 0.05
+DEFAULT_LOAD_SECONDS = 0.05
 
 
 @dataclass
 class WorkerState:
-    """What a worker is and holds."""
+    """Configuration and state of a worker.
+
+    Attributes:
+        id: Name of the worker, sent as ``Instance-Id``.
+        slots: Number of requests that it reports it can run at once.
+        events: Number of events in a stream whose request has no prompt.
+        event_seconds: Seconds before each event of a stream.
+        work_seconds: Seconds that a plain request takes.
+        versions: Loaded version of each model.
+        load_count: Number of load orders accepted.
+        running: Number of running requests.
+        is_loading: Whether the worker is loading a version.
+        load_seconds: Seconds that loading a version takes.
+    """
 
     id: str
     slots: int = 8
@@ -29,34 +42,45 @@
     event_seconds: float = 0.002
     work_seconds: float = 0.002
     versions: dict[str, int] = field(default_factory=dict)
-    orders: int = 0
+    load_count: int = 0
     running: int = 0
-    busy: bool = False
-    load_seconds: float = LOAD_SECONDS
+    is_loading: bool = False
+    load_seconds: float = DEFAULT_LOAD_SECONDS
 
 
 class WorkerHandler(web.RequestHandler):
-    """What all routes of a worker do first.
-
-    Kinds of faults: ``full`` (503, not run), ``error`` (500), ``impossible`` (422),
-    ``reset`` (dropped unanswered, after the run), ``silent`` (no answer for
-    ``seconds``), ``truncate`` (half an answer), ``crossed`` (another request's
-    answer), ``unsigned`` (success without a signature), ``cut`` (a stream that ends
-    after ``value`` events), ``cut_end`` (after its last one), ``stall`` (a stream
-    that pauses ``seconds`` there), ``mute_order`` (an order without an answer) and
-    ``late_order`` (one carried out ``seconds`` later).
+    """Base class of a worker's routes.
+
+    Kinds of faults:
+
+    - ``full``: status 503; the request is not run.
+    - ``error``: status 500.
+    - ``impossible``: status 422.
+    - ``reset``: the request is recorded as run, but the connection is closed without
+      a response.
+    - ``silent``: the request is recorded as run, and handled after ``seconds``.
+    - ``truncate``: the body of the response is incomplete.
+    - ``crossed``: the response carries the id of another request.
+    - ``unsigned``: a successful response lacks the ``Server-Stamp`` header.
+    - ``cut``: the connection of a stream is closed after ``value`` events.
+    - ``cut_end``: the connection of a stream is closed after its last event.
+    - ``stall``: a stream pauses for ``seconds`` before each event after the first
+      ``value``.
+    - ``mute_order``: a load order takes effect, but no response is sent.
+    - ``late_order``: a load order takes effect after ``seconds``, and no response is
+      sent.
     """
 
     def initialize(
         self, state: WorkerState, faults: FaultInjector, journal: Journal
     ) -> None:
-        """Stores what the handlers share."""
+        """Stores the objects that all handlers share."""
         self.state = state
         self.faults = faults
         self.journal = journal
 
-    def check_instance(self) -> bool:
-        """Answers 421 to a request that expects another worker."""
+    def check_expected_instance(self) -> bool:
+        """Returns whether the request is for this worker, or else sends status 421."""
         expected = self.request.headers.get("Expect-Instance", self.state.id)
         if expected == self.state.id:
             return True
@@ -66,14 +90,14 @@
         return False
 
 
-class RunHandler(WorkerHandler):
-    """Runs any request."""
+class RequestRunHandler(WorkerHandler):
+    """Routes of any other path: runs a request, as a service or as a model engine."""
 
     async def prepare(self) -> None:
-        """Signs the answer and refuses what is not meant for this worker."""
-        send_at_once(self)
+        """Sets the request id and rejects requests that this worker must not run."""
+        disable_nagle(self)
         self.set_header("Request-Id", self.request.headers.get("Request-Id", ""))
-        if not self.check_instance():
+        if not self.check_expected_instance():
             raise web.Finish
         if self.faults.consume("full"):
             self.set_status(503)
@@ -81,7 +105,7 @@
             raise web.Finish
 
     async def post(self) -> None:
-        """Runs a request and answers it."""
+        """Runs a request and sends the response."""
         headers = self.request.headers
         entry = self.journal.add(
             "run",
@@ -104,20 +128,20 @@
             self.set_status(422)
             return
         self.state.running += 1
-        peak = self.journal.figures.get("peak_running", 0)
-        self.journal.figures["peak_running"] = max(peak, self.state.running)
+        peak = self.journal.counters.get("peak_running", 0)
+        self.journal.counters["peak_running"] = max(peak, self.state.running)
         try:
             if "Model" in headers:
-                entry["finished"] = await self._stream(headers["Model"], entry)
+                entry["finished"] = await self._send_stream(headers["Model"], entry)
             else:
-                await self._answer()
+                await self._send_response()
                 entry["finished"] = True
         finally:
             self.state.running -= 1
 
     get = post
 
-    async def _answer(self) -> None:
+    async def _send_response(self) -> None:
         await asyncio.sleep(self.state.work_seconds)
         if self.faults.consume("unsigned"):
             self.clear_header("Server-Stamp")
@@ -127,15 +151,15 @@
         if self.faults.consume("truncate"):
             stream = self.request.connection.stream  # type: ignore[union-attr]
             request_id = self.request.headers.get("Request-Id", "")
-            head = f"HTTP/1.1 200 OK\r\nRequest-Id: {request_id}\r\n"
-            head += f"Server-Stamp: s\r\nContent-Length: {len(body)}\r\n\r\n"
-            await stream.write(head.encode() + body[:4])
+            headers = f"HTTP/1.1 200 OK\r\nRequest-Id: {request_id}\r\n"
+            headers += f"Server-Stamp: s\r\nContent-Length: {len(body)}\r\n\r\n"
+            await stream.write(headers.encode() + body[:4])
             stream.close()
             return
         self.write(body)
 
-    async def _stream(self, model: str, entry: dict[str, Any]) -> bool:
-        """Sends the events, and gives whether all were sent."""
+    async def _send_stream(self, model: str, entry: dict[str, Any]) -> bool:
+        """Sends the events and returns whether all were sent."""
         state = self.state
         version = state.versions.get(model, 1)
         expected = self.request.headers.get("Expect-Version")
@@ -144,12 +168,12 @@
             self.set_header("Instance-Id", state.id)
             return False
         self.set_header("Content-Type", "text/event-stream")
-        prompt = read_prompt(self.request.body)
+        prompt = parse_prompt_request(self.request.body)
         count = state.events if prompt is None else prompt.get("max_tokens", 1)
         start = int(self.request.headers.get("Last-Event-Id", "0")) + 1
         if start <= count:
             self.set_header("Weight-Versions", str(version))
-        entry["versions"] = runs = []
+        entry["versions"] = sent_versions = []
         cut, stall = self.faults.consume("cut"), self.faults.consume("stall")
         for number in range(start, count + 1):
             await asyncio.sleep(state.event_seconds)
@@ -163,7 +187,7 @@
                 version = state.versions[model]
                 lines.append(f"weight-versions: {version}")
             lines += [f"id: {number}", f"data: {self._make_data(prompt, number)}"]
-            runs.append(version)
+            sent_versions.append(version)
             self.write("\n".join(lines) + "\n\n")
             await self.flush()
         if self.faults.consume("cut_end"):
@@ -174,15 +198,15 @@
     def _make_data(self, prompt: dict[str, Any] | None, number: int) -> str:
         if prompt is None:
             return f"{self.request.headers.get('Request-Id')}-{number}"
-        return make_token(prompt["prompt"], prompt.get("seed", 0), number - 1)
+        return generate_token(prompt["prompt"], prompt.get("seed", 0), number - 1)
 
 
 class ReportHandler(WorkerHandler):
-    """``GET /-/report``."""
+    """``GET /-/report``: reports the state of the worker."""
 
     def get(self) -> None:
-        """Reports versions and the count of orders."""
-        if not self.check_instance():
+        """Writes the loaded versions and the number of load orders."""
+        if not self.check_expected_instance():
             return
         models = [
             {"name": name, "version": version, "adapters": []}
@@ -192,63 +216,73 @@
             {
                 "stage": "both",
                 "models": models,
-                "busy": self.state.busy,
-                "sequence": self.state.orders,
+                "busy": self.state.is_loading,
+                "sequence": self.state.load_count,
             }
         )
 
 
-class OrderHandler(WorkerHandler):
-    """``POST /-/order``."""
+class LoadOrderHandler(WorkerHandler):
+    """``POST /-/order``: starts to load a version of a model."""
 
     async def post(self) -> None:
-        """Takes an order to load a version."""
-        if not self.check_instance():
+        """Handles a load order."""
+        if not self.check_expected_instance():
             return
         order = json.loads(self.request.body)
         if fault := self.faults.consume("late_order"):
             loop = asyncio.get_running_loop()
-            loop.call_later(fault.seconds, self._take_order, order)
+            loop.call_later(fault.seconds, self._accept_order, order)
             await asyncio.sleep(fault.seconds)
             drop_connection(self)
             return
-        status = self._take_order(order)
+        status = self._accept_order(order)
         if self.faults.consume("mute_order"):
             drop_connection(self)
             return
         self.set_status(status)
 
-    def _take_order(self, order: dict[str, Any]) -> int:
+    def _accept_order(self, order: dict[str, Any]) -> int:
         state = self.state
         if "holder" not in order or "fence" not in order:
             return 400
-        if state.busy or order.get("precondition", state.orders) != state.orders:
+        if (
+            state.is_loading
+            or order.get("precondition", state.load_count) != state.load_count
+        ):
             return 409
         model, version = order["model"], order["version"]
         if state.versions.get(model) == version:
             return 200
-        state.orders += 1
-        state.busy = True
+        state.load_count += 1
+        state.is_loading = True
         self.journal.add("order", **order)
 
-        def finish() -> None:
+        def finish_load() -> None:
             state.versions[model] = version
-            state.busy = False
+            state.is_loading = False
 
-        asyncio.get_running_loop().call_later(state.load_seconds, finish)
+        asyncio.get_running_loop().call_later(state.load_seconds, finish_load)
         return 202
 
 
 def make_application(state: WorkerState) -> web.Application:
-    """Makes a worker's stand-in."""
+    """Creates a worker's stand-in.
+
+    Args:
+        state: State of the worker, which the application changes.
+
+    Returns:
+        The application. Tests may use its attributes ``faults`` and ``journal``.
+    """
     faults, journal = FaultInjector(), Journal()
     shared = {"state": state, "faults": faults, "journal": journal}
     application = web.Application(
         [
             (r"/-/report", ReportHandler, shared),
-            (r"/-/order", OrderHandler, shared),
+            (r"/-/order", LoadOrderHandler, shared),
             *make_control_routes(faults, journal),
-            (r"/.*", RunHandler, shared),
+            (r"/.*", RequestRunHandler, shared),
         ],
         log_function=lambda _: None,
     )
--- a/standins/worker/_registration.py
+++ b/standins/worker/_registration.py
@@ -1,4 +1,4 @@
-"""A worker's entry in the store: heartbeats, draining and leaving."""
+"""Registration of a worker in the store, renewed by heartbeats."""
 
 import asyncio
 import json
@@ -10,74 +10,76 @@
 
 from standins.worker._application import WorkerState
 
-TOPIC = "keyed.servers"
-CALL_TIMEOUT = 1.0  # seconds
-RETRY_PAUSE = 0.1  # seconds
+REGISTRATION_TOPIC = "keyed.servers"
+REQUEST_TIMEOUT = 1.0  # seconds
+RETRY_INTERVAL = 0.1  # seconds
 
 
 class Registration:
-    """Writes what a worker says of itself, as the platform's workers do.
+    """Writes a worker's registration record, as the platform's workers do.
 
     Args:
-        state: The worker.
-        store: The store's URL.
-        address: Where the worker listens, as ``IP:port``.
-        service: Its service.
-        zone: Its failure domain.
-        heartbeat: Seconds between two writes.
+        state: State of the worker.
+        store_url: Base URL of the store.
+        address: Address to register, as ``IP:port``.
+        service: Service that the worker belongs to.
+        failure_domain: Failure domain of the worker.
+        heartbeat: Seconds between two heartbeats.
+        cold_seconds: Seconds from the start for which the worker reports that it is
+            cold.
     """
 
     def __init__(
         self,
         state: WorkerState,
-        store: str,
+        store_url: str,
         *,
         address: str,
         service: str,
-        zone: str,
+        failure_domain: str,
         heartbeat: float,
         cold_seconds: float = 0.0,
     ) -> None:
         self.state = state
-        self.store = store
+        self.store_url = store_url
         self.address = address
         self.service = service
-        self.zone = zone
+        self.failure_domain = failure_domain
         self.heartbeat = heartbeat
         self.started_at_ms = int(time.time() * 1000)
-        self.cold_until = time.monotonic() + cold_seconds
+        self.warm_at = time.monotonic() + cold_seconds
         self.is_draining = False
-        self._beats = 0
+        self._heartbeat_count = 0
         self._client = AsyncHTTPClient()
 
     async def run(self) -> None:
-        """Writes the entry again and again until cancelled."""
+        """Registers the worker at every heartbeat, until cancelled."""
         while True:
-            await self.write()
+            await self.register()
             await asyncio.sleep(self.heartbeat)
 
-    async def write(self) -> None:
-        """Writes the entry, until the store takes it."""
-        while not await self._append(self._make_entry()):
-            await asyncio.sleep(RETRY_PAUSE)
+    async def register(self) -> None:
+        """Writes the registration record; retries until the store accepts it."""
+        while not await self._append(self._make_record()):
+            await asyncio.sleep(RETRY_INTERVAL)
 
-    async def remove(self) -> None:
-        """Removes the entry, if the store takes that."""
+    async def deregister(self) -> None:
+        """Removes the registration record; does not retry if that fails."""
         await self._append(None)
 
-    def _make_entry(self) -> dict[str, Any]:
-        self._beats += 1
-        cold = max(0.0, self.cold_until - time.monotonic())
+    def _make_record(self) -> dict[str, Any]:
+        self._heartbeat_count += 1
+        cold_seconds = max(0.0, self.warm_at - time.monotonic())
         versions = self.state.versions.items()
         return {
             "service": self.service,
             "address": self.address,
-            "zone": self.zone,
+            "zone": self.failure_domain,
             "version": "v1",
             "slots": self.state.slots,
             "state": "draining" if self.is_draining else "ready",
-            "coldRemainingMs": int(cold * 1000),
-            "sequence": self._beats,
+            "coldRemainingMs": int(cold_seconds * 1000),
+            "sequence": self._heartbeat_count,
             "born": self.started_at_ms,
             "models": [
                 {"name": name, "version": version, "adapters": []}
@@ -85,17 +87,17 @@
             ],
         }
 
-    async def _append(self, entry: dict[str, Any] | None) -> bool:
+    async def _append(self, fields: dict[str, Any] | None) -> bool:
         name = self.state.id.encode()
-        value = b"" if entry is None else json.dumps(entry).encode()
+        value = b"" if fields is None else json.dumps(fields).encode()
         record = bytes([len(name)]) + name + value
         try:
             await self._client.fetch(
-                f"{self.store}/-/log-append?topic={TOPIC}&part=0",
+                f"{self.store_url}/-/log-append?topic={REGISTRATION_TOPIC}&part=0",
                 method="POST",
                 body=struct.pack(">I", len(record)) + record,
-                request_timeout=CALL_TIMEOUT,
-                connect_timeout=CALL_TIMEOUT,
+                request_timeout=REQUEST_TIMEOUT,
+                connect_timeout=REQUEST_TIMEOUT,
             )
         except (HTTPClientError, OSError):
             return False
--- a/standins/worker/_tokens.py
+++ b/standins/worker/_tokens.py
@@ -1,17 +1,21 @@
-"""Texts that follow from a request alone, so that a cut or crossed one shows."""
+"""Generates tokens that depend on the request alone.
+
+A test can therefore compute the expected text, and detect a truncated stream or the
+response to another request.
+"""
 
 import hashlib
 import json
 from typing import Any
 
-TOKEN_LENGTH = 6
+TOKEN_LENGTH = 6  # characters
 
 
-def make_token(prompt: str, seed: int, index: int) -> str:
-    """Makes one token of the answer to a prompt, the same at every worker.
+def generate_token(prompt: str, seed: int, index: int) -> str:
+    """Returns one token of the response to a prompt, the same on every worker.
 
     Example:
-        >>> make_token("set a tooth", 7, 0) == make_token("set a tooth", 8, 0)
+        >>> generate_token("set a tooth", 7, 0) == generate_token("set a tooth", 8, 0)
         False
     """
     text = f"{prompt}\x00{seed}\x00{index}".encode()
@@ -19,12 +23,12 @@
 
 
 def generate_tokens(prompt: str, seed: int, count: int) -> list[str]:
-    """Makes all tokens of the answer to a prompt."""
-    return [make_token(prompt, seed, index) for index in range(count)]
+    """Returns the first tokens of the response to a prompt."""
+    return [generate_token(prompt, seed, index) for index in range(count)]
 
 
-def read_prompt(body: bytes) -> dict[str, Any] | None:
-    """Reads a body that names its prompt; None for any other body."""
+def parse_prompt_request(body: bytes) -> dict[str, Any] | None:
+    """Decodes a request body that has a prompt; returns None for any other body."""
     try:
         data = json.loads(body)
     except ValueError:
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -104,7 +104,7 @@
         self.entries = dict(sorted(self.entries.items()))
         self.key, items = self.create_account("mill", weight=1.0)
         self.observations.keys.append(self.key)
-        self.change(*items, *make_rules())
+        self.apply_change(*items, *make_rules())
         self.wait_until_ready()
 
     def __exit__(self, *exception: object) -> None:
@@ -168,7 +168,7 @@
 
     def drain(self, failure_domain: str) -> None:
         """Drains a failure domain."""
-        self.change(Drain(name=failure_domain))
+        self.apply_change(Drain(name=failure_domain))
 
     async def run_command(self, *words: str) -> tuple[int, dict[str, Any]]:
         """Runs an operator's command, and gives exit code and JSON answer."""
--- a/tests/invariants.py
+++ b/tests/invariants.py
@@ -2,7 +2,7 @@
 
 It reads records and journals only, and knows nothing of the product's inside:
 it imports nothing of it. An engine's text is known in advance
-(``standins.worker.make_token``), so that a short or crossed answer shows.
+(``standins.worker.generate_token``), so that a short or crossed answer shows.
 """
 
 import hashlib
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -20,7 +20,7 @@
             harness.store.add_fault("busy", target="append")
             for name in harness.workers:
                 # The store itself removes what did not write in time.
-                harness.store.call("POST", "/control/drop", {"key": name})
+                harness.store.request_json("POST", "/control/drop", {"key": name})
             await asyncio.sleep(1.0)
             harness.store.clear_faults()
             began = ended[-1].began
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -34,7 +34,7 @@
             deadline = harness.find_append('"kind":"drain"') + PROPAGATION_LIMIT
             await harness.until(lambda: ended[-1].began > deadline + 1, "calls go on")
             assert not find_late(harness, "desk-0", deadline)
-            harness.change(remove=[ItemReference(kind="drain", name="bench-a")])
+            harness.apply_change(remove=[ItemReference(kind="drain", name="bench-a")])
             await harness.until(
                 lambda: find_late(harness, "desk-0", deadline) != [],
                 "work comes again",
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -41,7 +41,7 @@
     with DeploymentHarness(engines=2, services=2) as harness:
         harness.other_key, items = harness.create_account("ledger")
         harness.observations.keys.append(harness.other_key)
-        harness.change(*items)
+        harness.apply_change(*items)
         harness.wait_until_ready()
         asyncio.run(scenario(harness))
 
@@ -184,7 +184,7 @@
             harness.entries[name].kill()
         for name in names:
             # The trainer knows the entries by their addresses.
-            harness.add_entry(name, "bench-a", instead_of=harness.entries[name])
+            harness.add_entry(name, "bench-a", replaces=harness.entries[name])
         assert len(await lot) == 4
         # No sample was made again: the store had them.
         assert max(count_runs(harness.check()).values()) == runs
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -32,7 +32,7 @@
 
 def is_ready(entry):
     try:
-        return entry.call("GET", "/readyz")["ready"]
+        return entry.request_json("GET", "/readyz")["ready"]
     except (URLError, OSError):
         return False
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -108,13 +108,13 @@
         caller = harness.make_caller()
         code, _ = await harness.run_command("drain", "bench-b")
         assert code == ExitCode.OK
-        harness.store.call("POST", "/control/compact")
+        harness.store.request_json("POST", "/control/compact")
         harness.add_entry("entry-9", "bench-a")
         await harness.until(
             lambda: harness.read_status("entry-9")["drained"] == ["bench-b"],
             "a new entry knows",
         )
-        harness.store.call("POST", "/control/compact")
+        harness.store.request_json("POST", "/control/compact")
         await harness.run_command("restore", "bench-b")
         for name in harness.entries:
             await harness.until(
