--- a/standins/store/_topics.py
+++ b/standins/store/_topics.py
@@ -47,6 +47,12 @@
         keyed: Whether each record has a key, so that the latest one of each key
             is kept.
 
+    Attributes:
+        first: Offset of the oldest record that is kept.
+        records: Time of the append and content of each record.
+        newest: Offset and value of the latest record of each key.
+        producers: State of each producer, by name.
+
     Example:
         >>> partition = Partition(keyed=False)
         >>> partition.append([b"a", b"b"])
