--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -18,7 +18,7 @@
 
 import matplotlib
 
-from soak import DESK_FLAGS, ENGINE_FLAGS, FaultPlan, FaultStep, run_plan
+from soak import ENGINE_FLAGS, SERVICE_WORKER_FLAGS, FaultPlan, FaultStep, run_plan
 from tests.harness import DeploymentHarness
 from tests.invariants import CallRecord
 
@@ -55,15 +55,17 @@
     """Measures each kind of call.
 
     Example:
-        >>> call = CallRecord("mill", "lookup", "l", b"", 200, began=1.0, ended=1.1)
+        >>> call = CallRecord(
+        ...     "mill", "lookup", "l", b"", 200, started_at=1.0, finished_at=1.1
+        ... )
         >>> measure_calls([call])["lookup"]["served"]
         1
     """
     rows: dict[str, dict[str, float]] = {}
     for kind, objective in OBJECTIVES.items():
-        own = [call for call in calls if call.kind == kind and call.ended]
+        own = [call for call in calls if call.kind == kind and call.finished_at]
         good = [call for call in own if call.status == 200]
-        times = sorted(call.ended - call.began for call in good)
+        times = sorted(call.finished_at - call.started_at for call in good)
         late = sum(seconds > objective for seconds in times)
         refused = sum(call.verdict == "not_run" for call in own)
         rows[kind] = {
@@ -87,11 +89,11 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    began = min(call.began for call in calls)
+    began = min(call.started_at for call in calls)
     figure, axes = pyplot.subplots(figsize=(9, 4))
     for kind in OBJECTIVES:
         counts = Counter(
-            int(call.ended - began)
+            int(call.finished_at - began)
             for call in calls
             if call.kind == kind and call.status == 200
         )
@@ -116,14 +118,14 @@
         services=plan.desks,
         entries=0,
         engine_flags=ENGINE_FLAGS,
-        service_flags=DESK_FLAGS,
+        service_flags=SERVICE_WORKER_FLAGS,
     )
     started = time.monotonic()
     with harness:
         problems, _ = run_plan(harness, plan, seconds=day.seconds)
         figures = harness.store.call("GET", "/control/journal")
-    evidence = harness.evidence
-    loads = len(evidence.list_entries("order"))
+    evidence = harness.observations
+    loads = len(evidence.list_journal_entries("order"))
     draw(evidence.calls, day, RESULTS / "experiment.png")
     return {
         "calls": measure_calls(evidence.calls),
--- a/benchmarks/tests/test_experiment.py
+++ b/benchmarks/tests/test_experiment.py
@@ -35,8 +35,8 @@
             b"",
             status,
             verdict=verdict,
-            began=5.0,
-            ended=5.0 + seconds,
+            started_at=5.0,
+            finished_at=5.0 + seconds,
         )
 
     calls = [see(200, 0.1), see(200, 0.9), see(0, 0.1, "not_run"), see(0, 1, "ran")]
--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,16 +1,16 @@
-"""A randomized soak of real processes under faults, with an outside checker."""
+"""A randomized soak test of real processes under faults."""
 
 from soak._plan import FaultPlan, FaultStep, make_plan
-from soak._runner import Outcome, play, run_plan
-from soak._steps import DESK_FLAGS, ENGINE_FLAGS
+from soak._runner import SoakResult, run_plan, run_seed_plan
+from soak._steps import ENGINE_FLAGS, SERVICE_WORKER_FLAGS
 
 __all__ = [
-    "DESK_FLAGS",
+    "SERVICE_WORKER_FLAGS",
     "ENGINE_FLAGS",
-    "Outcome",
+    "SoakResult",
     "FaultPlan",
     "FaultStep",
     "make_plan",
-    "play",
+    "run_seed_plan",
     "run_plan",
 ]
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,7 +1,7 @@
-"""Plays seeds of the soak: ``make soak``, or ``python -m soak --seeds 50 --jobs 3``.
+"""Runs seeds of the soak test: ``make soak`` or ``python -m soak --seeds 50 --jobs 3``.
 
-Fresh seeds are drawn unless ``--first`` names one. Each seed that fails is printed with
-its steps and problems; the exit status is zero only if none did.
+Seeds start at a random number unless ``--first`` is given. Each seed that fails is
+printed with its steps and problems. The exit status is zero only if no seed failed.
 """
 
 import argparse
@@ -11,16 +11,16 @@
 import sys
 from dataclasses import asdict
 
-from soak import Outcome, make_plan, play
+from soak import SoakResult, make_plan, run_seed_plan
 
 
-def play_seed(seed: int) -> Outcome:
-    """Plays one seed."""
-    return play(make_plan(seed))
+def run_seed(seed: int) -> SoakResult:
+    """Runs the plan of one seed."""
+    return run_seed_plan(make_plan(seed))
 
 
 def main() -> int:
-    """Plays seeds, several at a time.
+    """Runs seeds, several at a time.
 
     Returns:
         The exit status.
@@ -28,23 +28,25 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--first", type=int, default=None, help="the first seed")
-    parser.add_argument("--jobs", type=int, default=2, help="seeds at a time")
+    parser.add_argument(
+        "--jobs", type=int, default=2, help="number of seeds that run at a time"
+    )
     arguments = parser.parse_args()
     first = secrets.randbits(30) if arguments.first is None else arguments.first
     seeds = range(first, first + arguments.seeds)
     failed = 0
     with multiprocessing.Pool(arguments.jobs) as pool:
-        for outcome in pool.imap_unordered(play_seed, seeds):
-            verdict = "FAILED" if outcome.problems else "held"
-            calls = sum(outcome.calls.values())
+        for result in pool.imap_unordered(run_seed, seeds):
+            verdict = "FAILED" if result.problems else "passed"
+            calls = sum(result.calls.values())
             print(
-                f"seed {outcome.seed}: {verdict}, {calls} calls, "
-                f"{outcome.samples} samples, {outcome.seconds:.1f} s",
+                f"seed {result.seed}: {verdict}, {calls} calls, "
+                f"{result.samples} samples, {result.seconds:.1f} s",
                 flush=True,
             )
-            if outcome.problems:
+            if result.problems:
                 failed += 1
-                print(json.dumps(asdict(outcome), indent=1), flush=True)
+                print(json.dumps(asdict(result), indent=1), flush=True)
     print(f"{arguments.seeds} seeds from {first}: {failed} failed")
     return int(failed > 0)
 
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -1,4 +1,4 @@
-"""Checks what was seen from outside while a seed was played."""
+"""Checks the observations of a soak run."""
 
 import asyncio
 import time
@@ -8,40 +8,41 @@
 from tests.harness import PROPAGATION_LIMIT
 from tests.invariants import list_request_times
 
-RECOVERY = 15.0  # seconds after the last fault in which all is served again
+RECOVERY_TIMEOUT = 15.0
+"""Seconds after the last fault within which all kinds of calls must succeed."""
 
 
-def check(deployment: SoakDeployment) -> list[str]:
-    """Checks every promise; gives what is wrong."""
+def check_run(deployment: SoakDeployment) -> list[str]:
+    """Runs all checks and returns the problems that they found."""
     problems = []
     checks = (
-        lambda one: one.harness.check(),
+        lambda deployment: deployment.harness.collect_and_check(),
         _check_drains,
         _check_withdrawal,
     )
-    for one in checks:
+    for check in checks:
         try:
-            one(deployment)
+            check(deployment)
         except AssertionError as error:
             text = traceback.format_exception_only(error)
             problems.append("".join(text).strip()[:600])
     for name, process in deployment.harness.entries.items():
         if not process.is_running:
-            problems.append(f"{name} ended with status {process.process.poll()}")
+            problems.append(f"{name} exited with status {process.process.poll()}")
         for event in process.read_events("task.failed"):
             problems.append(f"{name}: {event}")
     return problems
 
 
 def _check_drains(deployment: SoakDeployment) -> None:
-    for domain, begun, ended in deployment.drain_spans:
-        for name in deployment.harness.observations.upstreams:
+    for domain, started_at, ended_at in deployment.drain_intervals:
+        for name in deployment.harness.observations.upstream_journals:
             if f"bench-{'abc'[int(name[-1])]}" != domain:
                 continue
             late = [
                 at
                 for at in list_request_times(deployment.harness.observations, name)
-                if begun + PROPAGATION_LIMIT < at < ended
+                if started_at + PROPAGATION_LIMIT < at < ended_at
             ]
             assert not late, f"{name} got {len(late)} requests while drained"
 
@@ -49,28 +50,32 @@
 def _check_withdrawal(deployment: SoakDeployment) -> None:
     if not deployment.withdrawn_at:
         return
-    bound = deployment.withdrawn_at + PROPAGATION_LIMIT
+    deadline = deployment.withdrawn_at + PROPAGATION_LIMIT
     served = [
         call.name
         for call in deployment.harness.observations.calls
-        if call.account == "quay" and call.status == 200 and call.began > bound
+        if call.account == "quay" and call.status == 200 and call.started_at > deadline
     ]
-    assert not served, f"served under a withdrawn key: {served[:5]}"
+    assert not served, f"calls served with a withdrawn key: {served[:5]}"
 
 
 async def check_recovery(deployment: SoakDeployment) -> list[str]:
-    """Checks that all kinds of calls are served again in time."""
+    """Checks that all kinds of calls succeed again within the recovery timeout."""
     caller = deployment.harness.make_caller(attempts=2)
-    end = time.monotonic() + RECOVERY
+    deadline = time.monotonic() + RECOVERY_TIMEOUT
     failed: list[str] = []
-    while time.monotonic() < end:
-        seen = [
-            await deployment.harness.look_up(caller, timeout=2.0),
-            await deployment.harness.order(caller, timeout=2.0),
-            await deployment.harness.complete(caller, timeout=4.0),
+    while time.monotonic() < deadline:
+        records = [
+            await deployment.harness.send_lookup(caller, timeout=2.0),
+            await deployment.harness.place_order(caller, timeout=2.0),
+            await deployment.harness.send_completion(caller, timeout=4.0),
+        ]
+        failed = [
+            f"{record.kind}: {record.error_code}"
+            for record in records
+            if record.status != 200
         ]
-        failed = [f"{one.kind}: {one.code}" for one in seen if one.status != 200]
         if not failed:
             return []
         await asyncio.sleep(0.3)
-    return [f"not served again: {failed}"]
+    return [f"calls still fail after the last fault: {failed}"]
--- a/soak/_deployment.py
+++ b/soak/_deployment.py
@@ -1,4 +1,4 @@
-"""The deployment that a seed plays on, and what its faults have changed."""
+"""The deployment on which a plan runs, and the state that its steps change."""
 
 import asyncio
 import contextlib
@@ -11,52 +11,52 @@
 
 
 class SoakDeployment:
-    """Store, workers, and entries that each reach the store by a relay of their own.
+    """A store, workers, and entries that reach the store through one proxy each.
 
     Args:
-        harness: The store and workers, started.
-        plan: What happens.
+        harness: The harness, whose store and workers are started.
+        plan: The plan that is run.
     """
 
     def __init__(self, harness: DeploymentHarness, plan: FaultPlan) -> None:
         self.harness = harness
         self.plan = plan
         self.proxies: dict[str, FaultyProxy] = {}
-        self.drained: dict[str, float] = {}
-        self.drain_spans: list[tuple[str, float, float]] = []
+        self.drain_started_at: dict[str, float] = {}
+        self.drain_intervals: list[tuple[str, float, float]] = []
         self.withdrawn_at = 0.0
         self.version = 1
-        self.stack = contextlib.ExitStack()
-        self.changes = asyncio.Lock()
+        self.exit_stack = contextlib.ExitStack()
+        self.change_lock = asyncio.Lock()
 
     def start(self) -> None:
-        """Starts entries behind relays, and a second account's key."""
+        """Starts entries behind proxies and creates a second client account."""
         harness = self.harness
         for number in range(self.plan.entries):
             name = f"entry-{number}"
-            proxy = self.stack.enter_context(
+            proxy = self.exit_stack.enter_context(
                 FaultyProxy(harness.store.address, harness.store.port)
             )
             self.proxies[name] = proxy
             self.start_entry(name)
         self.other_key, items = harness.create_account("quay")
-        self.other_item = next(item for item in items if isinstance(item, ApiKey))
+        self.other_key_item = next(item for item in items if isinstance(item, ApiKey))
         harness.observations.keys.append(self.other_key)
         harness.change(*items)
         harness.wait_until_ready()
 
-    def start_entry(self, name: str, *, again: bool = False) -> ManagedProcess:
+    def start_entry(self, name: str, *, restart: bool = False) -> ManagedProcess:
         proxy = self.proxies[name]
         number = int(name.rpartition("-")[2])
         return self.harness.add_entry(
             name,
             f"bench-{'abc'[number % 3]}",
-            instead_of=self.harness.entries[name] if again else None,
+            instead_of=self.harness.entries[name] if restart else None,
             store_address=f"{proxy.address}:{proxy.port}",
         )
 
-    def heal(self) -> None:
-        """Ends every fault and brings back what is gone."""
+    def clear_all_faults(self) -> None:
+        """Clears every fault and restarts the entries that have ended."""
         self.harness.store.resume()
         self.harness.store.clear_faults()
         for proxy in self.proxies.values():
@@ -66,4 +66,4 @@
                 worker.resume()
                 worker.clear_faults()
         for name, entry in list(self.harness.entries.items()):
-            entry.resume() if entry.is_running else self.start_entry(name, again=True)
+            entry.resume() if entry.is_running else self.start_entry(name, restart=True)
--- a/soak/_load.py
+++ b/soak/_load.py
@@ -1,4 +1,4 @@
-"""Sends calls of all kinds and lots while faults are played."""
+"""Sends calls of all kinds and runs lots during a soak run."""
 
 import asyncio
 import contextlib
@@ -11,48 +11,50 @@
 from tests.harness import make_lot
 from tests.invariants import CallRecord
 
-CLIENT_PAUSE = 0.03  # seconds
-LOT_PAUSE = 0.2  # seconds
+CALL_INTERVAL = 0.03  # seconds
+LOT_INTERVAL = 0.2  # seconds
 
 
-class Load:
-    """Clients of all kinds.
+class LoadGenerator:
+    """Clients that send all kinds of calls and run lots.
 
     Args:
-        deployment: What they call.
+        deployment: The deployment that they call.
     """
 
     def __init__(self, deployment: SoakDeployment) -> None:
         self.deployment = deployment
         self.harness = deployment.harness
 
-    async def run(self, stopping: asyncio.Event) -> None:
-        """Sends calls of all kinds and lots until told to stop."""
+    async def run(self, stop_event: asyncio.Event) -> None:
+        """Sends calls and runs lots until the event is set."""
         harness = self.harness
         caller = harness.make_caller()
         other = harness.make_caller(key=self.deployment.other_key, attempts=1)
         kinds = [
-            lambda: harness.order(caller, timeout=8.0),
-            lambda: harness.look_up(caller, timeout=8.0),
-            lambda: harness.complete(caller, timeout=8.0),
-            lambda: harness.complete(caller, stream=True, tokens=150, timeout=8.0),
-            lambda: harness.order(other, account="quay", timeout=8.0),
+            lambda: harness.place_order(caller, timeout=8.0),
+            lambda: harness.send_lookup(caller, timeout=8.0),
+            lambda: harness.send_completion(caller, timeout=8.0),
+            lambda: harness.send_completion(
+                caller, stream=True, tokens=150, timeout=8.0
+            ),
+            lambda: harness.place_order(other, account="quay", timeout=8.0),
         ]
 
         async def loop(call: Any) -> None:
-            while not stopping.is_set():
+            while not stop_event.is_set():
                 await call()
-                await asyncio.sleep(CLIENT_PAUSE)
+                await asyncio.sleep(CALL_INTERVAL)
 
         async with asyncio.TaskGroup() as group:
             for call in kinds:
                 group.create_task(loop(call))
-            group.create_task(self._keep_connection(stopping))
-            group.create_task(self._run_lots(stopping))
+            group.create_task(self._send_on_kept_connections(stop_event))
+            group.create_task(self._run_lots(stop_event))
 
-    async def _run_lots(self, stopping: asyncio.Event) -> None:
+    async def _run_lots(self, stop_event: asyncio.Event) -> None:
         number = 0
-        while not stopping.is_set():
+        while not stop_event.is_set():
             lot = make_lot(f"lot-{number}", groups=2, samples=4, maximum_age=2)
             lot = lot.model_copy(
                 update={"version": self.deployment.version, "timeout": 12.0}
@@ -63,58 +65,64 @@
                     trainer, lot, get_version=lambda: self.deployment.version
                 )
             number += 1
-            await asyncio.sleep(LOT_PAUSE)
+            await asyncio.sleep(LOT_INTERVAL)
 
-    async def _keep_connection(self, stopping: asyncio.Event) -> None:
-        """Sends lookups on one connection until its entry is gone, then on another."""
+    async def _send_on_kept_connections(self, stop_event: asyncio.Event) -> None:
+        """Sends lookups on one connection until it closes, then on the next entry's."""
         number = 0
-        while not stopping.is_set():
+        while not stop_event.is_set():
             urls = self.harness.entry_urls
             if urls:
                 host, _, port = urls[number % len(urls)][7:].rpartition(":")
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                    await self._use_connection(host, int(port), stopping)
+                    await self._use_connection(host, int(port), stop_event)
             number += 1
-            await asyncio.sleep(CLIENT_PAUSE)
+            await asyncio.sleep(CALL_INTERVAL)
 
     async def _use_connection(
-        self, host: str, port: int, stopping: asyncio.Event
+        self, host: str, port: int, stop_event: asyncio.Event
     ) -> None:
         reader, writer = await asyncio.open_connection(host, port)
         try:
-            while not stopping.is_set():
-                name = f"kept-{next(self.harness.names)}"
+            while not stop_event.is_set():
+                name = f"kept-{next(self.harness.name_counter)}"
                 body = json.dumps({"name": name}).encode()
-                seen = CallRecord("mill", "lookup", name, body, began=time.time())
-                self.harness.observations.calls.append(seen)
+                record = CallRecord(
+                    "mill", "lookup", name, body, started_at=time.time()
+                )
+                self.harness.observations.calls.append(record)
                 head = (
                     f"POST /lookup HTTP/1.1\r\nHost: x\r\nX-Timeout: 5\r\n"
-                    f"Authorization: Bearer {self.harness.key}\r\n"
+                    f"Authorization: Bearer {self.harness.api_key}\r\n"
                     f"Content-Length: {len(body)}\r\n\r\n"
                 )
                 writer.write(head.encode() + body)
                 async with asyncio.timeout(8.0):
-                    is_last = await _read_answer(reader, seen)
+                    is_last = await _read_response(reader, record)
                 if is_last:
                     return
-                await asyncio.sleep(CLIENT_PAUSE)
+                await asyncio.sleep(CALL_INTERVAL)
         except TimeoutError:
             return
         finally:
             writer.transport.abort()
 
 
-async def _read_answer(reader: asyncio.StreamReader, seen: CallRecord) -> bool:
-    """Reads one answer; gives whether the entry closes the connection after it."""
+async def _read_response(reader: asyncio.StreamReader, record: CallRecord) -> bool:
+    """Reads one response into a record.
+
+    Returns:
+        Whether the entry closes the connection after the response.
+    """
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     lines = head.split("\r\n")
     fields = dict(line.lower().split(": ", 1) for line in lines[1:] if ": " in line)
     body = await reader.readexactly(int(fields["content-length"]))
-    seen.ended = time.time()
+    record.finished_at = time.time()
     status = int(lines[0].split()[1])
     if status == 200:
-        seen.status, seen.answer = 200, body
+        record.status, record.response = 200, body
     else:
         error = json.loads(body)["error"]
-        seen.code, seen.verdict = error["code"], error["verdict"]
+        record.error_code, record.verdict = error["code"], error["verdict"]
     return fields.get("connection") == "close"
--- a/soak/_plan.py
+++ b/soak/_plan.py
@@ -1,13 +1,13 @@
-"""What one seed plays: a small deployment and faults in series and overlapping."""
+"""Plans of the soak test: a small deployment, and faults that may overlap."""
 
 import random
 from dataclasses import dataclass
 
-STEPS = 9
-FIRST_STEP = 1.0  # seconds after the load has begun
-DURATION = 14.0  # seconds of load with faults
-KINDS = {
-    # What is hit, and the longest time for which it lasts, in seconds.
+STEP_COUNT = 9
+FIRST_STEP_DELAY = 1.0  # seconds after the load has started
+LOAD_DURATION = 14.0  # seconds of load with faults
+FAULT_KINDS = {
+    # The kind of target, and the longest duration in seconds.
     "kill": ("entry", 2.0),
     "pause": ("entry", 6.0),
     "stop": ("entry", 1.0),
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultStep:
-    """One fault or planned change.
+    """A fault or a planned change.
 
     Args:
-        at: Seconds after the load has begun.
-        kind: What happens.
-        target: The number of the process that it hits, among those of its kind.
-        seconds: For how long.
-        variant: Which of several forms.
+        at: Seconds after the load has started.
+        kind: The kind of fault or change, a key of ``FAULT_KINDS``.
+        target: Index of the target among those of its kind, modulo their number.
+        seconds: Duration in seconds.
+        variant: The form of the fault, if its kind has several.
     """
 
     at: float
@@ -63,7 +63,15 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultPlan:
-    """What one seed plays."""
+    """The deployment and the steps of one seed.
+
+    Args:
+        seed: The seed that the plan is drawn from.
+        entries: Number of entries.
+        engines: Number of model engines.
+        desks: Number of workers of the plain service.
+        steps: Faults and changes, in the order of their times.
+    """
 
     seed: int
     entries: int
@@ -73,29 +81,31 @@
 
 
 def make_plan(seed: int) -> FaultPlan:
-    """Makes the plan of a seed.
+    """Draws the plan of a seed.
 
     Example:
         >>> make_plan(7) == make_plan(7)
         True
     """
-    source = random.Random(seed)
-    moments = sorted(source.uniform(FIRST_STEP, DURATION) for _ in range(STEPS))
-    if source.random() < 0.5:
-        # Half of the plans strike in bursts, so that faults overlap.
-        moments = sorted(round(moment / 4) * 4 + source.random() for moment in moments)
+    generator = random.Random(seed)
+    times = sorted(
+        generator.uniform(FIRST_STEP_DELAY, LOAD_DURATION) for _ in range(STEP_COUNT)
+    )
+    if generator.random() < 0.5:
+        # Half of the plans have their steps in bursts, so that faults overlap.
+        times = sorted(round(time / 4) * 4 + generator.random() for time in times)
     return FaultPlan(
         seed,
-        entries=source.randint(2, 4),
-        engines=source.randint(2, 3),
-        desks=source.randint(2, 3),
-        steps=tuple(_make_step(source, moment) for moment in moments),
+        entries=generator.randint(2, 4),
+        engines=generator.randint(2, 3),
+        desks=generator.randint(2, 3),
+        steps=tuple(_make_step(generator, time) for time in times),
     )
 
 
-def _make_step(source: random.Random, at: float) -> FaultStep:
-    kind = source.choice(list(KINDS))
-    _, longest = KINDS[kind]
+def _make_step(generator: random.Random, at: float) -> FaultStep:
+    kind = generator.choice(list(FAULT_KINDS))
+    _, maximum = FAULT_KINDS[kind]
     variants = {
         "store_fault": STORE_FAULTS,
         "worker_fault": WORKER_FAULTS,
@@ -104,7 +114,7 @@
     return FaultStep(
         round(at, 3),
         kind,
-        source.randrange(12),
-        round(source.uniform(longest / 4, longest), 3),
-        source.choice(variants),
+        generator.randrange(12),
+        round(generator.uniform(maximum / 4, maximum), 3),
+        generator.choice(variants),
     )
--- a/soak/_runner.py
+++ b/soak/_runner.py
@@ -1,4 +1,4 @@
-"""Plays a plan on real processes."""
+"""Runs a plan on real processes."""
 
 import asyncio
 import time
@@ -6,19 +6,28 @@
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import dataclass, field
 
-from soak._checks import check, check_recovery
+from soak._checks import check_recovery, check_run
 from soak._deployment import SoakDeployment
-from soak._load import Load
-from soak._plan import DURATION, FaultPlan
-from soak._steps import DESK_FLAGS, ENGINE_FLAGS, StepRunner
+from soak._load import LoadGenerator
+from soak._plan import LOAD_DURATION, FaultPlan
+from soak._steps import ENGINE_FLAGS, SERVICE_WORKER_FLAGS, StepRunner
 from tests.harness import DeploymentHarness
 
 STORE_RETENTION = 20.0  # seconds
 
 
 @dataclass(slots=True)
-class Outcome:
-    """What became of one seed."""
+class SoakResult:
+    """The result of one seed.
+
+    Args:
+        seed: The seed.
+        problems: The problems that were found.
+        calls: Number of calls by error code, or by status if they have none.
+        samples: Number of samples that were delivered.
+        seconds: Duration of the run in seconds.
+        steps: The steps that were run, as text.
+    """
 
     seed: int
     problems: list[str] = field(default_factory=list)
@@ -28,63 +37,63 @@
     steps: list[str] = field(default_factory=list)
 
 
-def play(plan: FaultPlan) -> Outcome:
-    """Plays a plan; every process has ended when this returns.
+def run_seed_plan(plan: FaultPlan) -> SoakResult:
+    """Runs a plan on a new deployment, whose processes have all ended on return.
 
     Args:
         plan: The plan.
 
     Returns:
-        What was seen to be wrong, and how much was done.
+        The problems that were found, and the number of calls and samples.
     """
     started = time.monotonic()
-    outcome = Outcome(plan.seed)
+    result = SoakResult(plan.seed)
     harness = DeploymentHarness(
         engines=plan.engines,
         services=plan.desks,
         entries=0,
         engine_flags=ENGINE_FLAGS,
-        service_flags=DESK_FLAGS,
+        service_flags=SERVICE_WORKER_FLAGS,
         entry_settings={"stop_grace": 8},
         store_flags={"retention": STORE_RETENTION},
     )
     with harness:
-        outcome.problems, outcome.steps = run_plan(harness, plan)
+        result.problems, result.steps = run_plan(harness, plan)
     calls = harness.observations.calls
-    outcome.calls = dict(Counter(call.code or str(call.status) for call in calls))
-    outcome.samples = len(harness.observations.samples)
-    outcome.seconds = time.monotonic() - started
-    return outcome
+    result.calls = dict(Counter(call.error_code or str(call.status) for call in calls))
+    result.samples = len(harness.observations.samples)
+    result.seconds = time.monotonic() - started
+    return result
 
 
 def run_plan(
-    harness: DeploymentHarness, plan: FaultPlan, *, seconds: float = DURATION
+    harness: DeploymentHarness, plan: FaultPlan, *, seconds: float = LOAD_DURATION
 ) -> tuple[list[str], list[str]]:
-    """Plays a plan under load on a world that stands.
+    """Runs a plan under load on a deployment that is already started.
 
     Args:
-        harness: The store and workers, started.
-        plan: What happens.
-        seconds: Seconds of load before all is healed.
+        harness: The harness, whose store and workers are started.
+        plan: The plan.
+        seconds: Seconds of load before all faults are cleared.
 
     Returns:
-        What was seen to be wrong, and the steps.
+        The problems that were found, and the steps that were run.
     """
     deployment = SoakDeployment(harness, plan)
-    steps = StepRunner(deployment, seconds)
-    with deployment.stack:
+    step_runner = StepRunner(deployment, seconds)
+    with deployment.exit_stack:
         deployment.start()
-        return asyncio.run(_run(deployment, steps)), steps.steps
+        return asyncio.run(_run(deployment, step_runner)), step_runner.step_log
 
 
-async def _run(deployment: SoakDeployment, steps: StepRunner) -> list[str]:
+async def _run(deployment: SoakDeployment, step_runner: StepRunner) -> list[str]:
     asyncio.get_running_loop().set_default_executor(ThreadPoolExecutor(24))
-    stopping = asyncio.Event()
-    load = asyncio.create_task(Load(deployment).run(stopping))
+    stop_event = asyncio.Event()
+    load = asyncio.create_task(LoadGenerator(deployment).run(stop_event))
     try:
-        await steps.run()
-        recovery = await check_recovery(deployment)
+        await step_runner.run()
+        problems = await check_recovery(deployment)
     finally:
-        stopping.set()
+        stop_event.set()
         await load
-    return recovery + await asyncio.to_thread(check, deployment)
+    return problems + await asyncio.to_thread(check_run, deployment)
--- a/soak/_steps.py
+++ b/soak/_steps.py
@@ -1,4 +1,4 @@
-"""Carries out the faults and changes of a plan."""
+"""Runs the faults and changes of a plan."""
 
 import asyncio
 import contextlib
@@ -13,38 +13,38 @@
 from tests.harness import MODEL_SERVICE, PLAIN_SERVICE
 
 ENGINE_FLAGS = {"event_seconds": 0.004, "drain_seconds": 1.0}
-DESK_FLAGS = {"work_seconds": 0.01, "drain_seconds": 1.0}
+SERVICE_WORKER_FLAGS = {"work_seconds": 0.01, "drain_seconds": 1.0}
 
 
 class StepRunner:
-    """Carries out steps; they overlap where their times do.
+    """Runs the steps of a plan at their times, concurrently if they overlap.
 
     Args:
-        deployment: What they hit.
-        seconds: Seconds until all is healed.
+        deployment: The deployment that the steps change.
+        duration: Seconds until all faults are cleared.
     """
 
-    def __init__(self, deployment: SoakDeployment, seconds: float) -> None:
+    def __init__(self, deployment: SoakDeployment, duration: float) -> None:
         self.deployment = deployment
         self.harness = deployment.harness
         self.proxies = deployment.proxies
-        self.seconds = seconds
-        self.steps: list[str] = []
-        self.restarts = asyncio.Lock()
+        self.duration = duration
+        self.step_log: list[str] = []
+        self.restart_lock = asyncio.Lock()
 
     async def run(self) -> None:
-        """Carries out the plan, then heals everything."""
+        """Runs all steps, then clears all faults."""
         started = time.monotonic()
         async with asyncio.TaskGroup() as group:
             for step in self.deployment.plan.steps:
                 await asyncio.sleep(max(0.0, started + step.at - time.monotonic()))
                 group.create_task(self._run_step(step))
-            left = started + self.seconds - time.monotonic()
-            await asyncio.sleep(max(0.0, left))
-        await asyncio.to_thread(self.deployment.heal)
+            remaining = started + self.duration - time.monotonic()
+            await asyncio.sleep(max(0.0, remaining))
+        await asyncio.to_thread(self.deployment.clear_all_faults)
 
     async def _run_step(self, step: FaultStep) -> None:
-        self.steps.append(f"{step.at:6.2f} {step}")
+        self.step_log.append(f"{step.at:6.2f} {step}")
         action = getattr(self, f"_do_{step.kind}")
         await action(step)
 
@@ -55,22 +55,22 @@
         return self._choose(sorted(self.harness.entries), step)
 
     async def _do_kill(self, step: FaultStep) -> None:
-        await self._end_entry(step, lambda entry: entry.kill())
+        await self._stop_entry(step, lambda entry: entry.kill())
 
     async def _do_stop(self, step: FaultStep) -> None:
-        await self._end_entry(step, lambda entry: entry.stop(timeout=15.0))
+        await self._stop_entry(step, lambda entry: entry.stop(timeout=15.0))
 
-    async def _end_entry(self, step: FaultStep, end: Any) -> None:
+    async def _stop_entry(self, step: FaultStep, stop: Any) -> None:
         name = self._choose_entry(step)
         entry = self.harness.entries[name]
         if not entry.is_running:
             return
-        await asyncio.to_thread(end, entry)
+        await asyncio.to_thread(stop, entry)
         await asyncio.sleep(step.seconds)
-        # Two steps may have ended the same entry; the first one starts it again.
-        async with self.restarts:
+        # Two steps may have stopped the same entry; the first of them restarts it.
+        async with self.restart_lock:
             if self.harness.entries[name] is entry:
-                await asyncio.to_thread(self.deployment.start_entry, name, again=True)
+                await asyncio.to_thread(self.deployment.start_entry, name, restart=True)
 
     async def _do_pause(self, step: FaultStep) -> None:
         await _pause(self.harness.entries[self._choose_entry(step)], step.seconds)
@@ -83,12 +83,12 @@
         await _pause(self.harness.store, step.seconds)
 
     async def _do_worker_kill(self, step: FaultStep) -> None:
-        await self._end_worker(step, kill=True)
+        await self._stop_worker(step, kill=True)
 
     async def _do_worker_stop(self, step: FaultStep) -> None:
-        await self._end_worker(step, kill=False)
+        await self._stop_worker(step, kill=False)
 
-    async def _end_worker(self, step: FaultStep, *, kill: bool) -> None:
+    async def _stop_worker(self, step: FaultStep, *, kill: bool) -> None:
         harness = self.harness
         name = self._choose(sorted(harness.workers), step)
         worker = harness.workers[name]
@@ -103,7 +103,10 @@
         await asyncio.sleep(step.seconds)
         number = int(name.rpartition("-")[2])
         domain = f"bench-{'abc'[number]}"
-        start, flags = harness.add_worker, dict(DESK_FLAGS, service=PLAIN_SERVICE)
+        start, flags = (
+            harness.add_worker,
+            dict(SERVICE_WORKER_FLAGS, service=PLAIN_SERVICE),
+        )
         if name.startswith("engine"):
             start, flags = harness.add_engine, dict(ENGINE_FLAGS, service=MODEL_SERVICE)
             flags["version"] = self.deployment.version
@@ -154,30 +157,30 @@
 
     async def _do_drain(self, step: FaultStep) -> None:
         domain = f"bench-{'abc'[step.target % 3]}"
-        if domain in self.deployment.drained:
+        if domain in self.deployment.drain_started_at:
             return
         try:
-            async with self.deployment.changes:
-                await asyncio.to_thread(self.harness.drain, domain)
-            self.deployment.drained[domain] = time.time()
+            async with self.deployment.change_lock:
+                await asyncio.to_thread(self.harness.drain_domain, domain)
+            self.deployment.drain_started_at[domain] = time.time()
             await asyncio.sleep(step.seconds)
-            async with self.deployment.changes:
+            async with self.deployment.change_lock:
                 name = ItemReference(kind="drain", name=domain)
-                ended = time.time()
+                ended_at = time.time()
                 await asyncio.to_thread(lambda: self.harness.change(remove=[name]))
-            self.deployment.drain_spans.append(
-                (domain, self.deployment.drained[domain], ended)
+            self.deployment.drain_intervals.append(
+                (domain, self.deployment.drain_started_at[domain], ended_at)
             )
         except OSError:
-            # The store did not take it: the operator tries no further.
+            # The store did not accept the change, and the step does not retry it.
             return
 
     async def _do_withdraw(self, step: FaultStep) -> None:
         if self.deployment.withdrawn_at:
             return
-        item = self.deployment.other_item.model_copy(update={"withdrawn": True})
+        item = self.deployment.other_key_item.model_copy(update={"withdrawn": True})
         with contextlib.suppress(OSError):
-            async with self.deployment.changes:
+            async with self.deployment.change_lock:
                 await asyncio.to_thread(self.harness.change, item)
             self.deployment.withdrawn_at = time.time()
 
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -1,16 +1,16 @@
-"""A short run of the soak, and every seed that ever failed."""
+"""A short soak run, and a run of every seed that has failed before."""
 
 import pytest
 
-from soak import make_plan, play
+from soak import make_plan, run_seed_plan
 
 SHORT_SEED = 20261204
-REGRESSIONS: dict[int, str] = {}
-"""Seeds that failed once, each with its cause."""
+REGRESSION_SEEDS: dict[int, str] = {}
+"""Seeds that have failed before, each with its cause."""
 
 
-@pytest.mark.parametrize("seed", [SHORT_SEED, *REGRESSIONS])
-def test_seed_holds(seed):
-    outcome = play(make_plan(seed))
-    assert not outcome.problems, (outcome.steps, outcome.problems)
-    assert outcome.calls["200"] > 100
+@pytest.mark.parametrize("seed", [SHORT_SEED, *REGRESSION_SEEDS])
+def test_soak_run_finds_no_problems(seed):
+    result = run_seed_plan(make_plan(seed))
+    assert not result.problems, (result.steps, result.problems)
+    assert result.calls["200"] > 100
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""A deployment under test, with callers and trainers that keep what they saw."""
+"""A deployment under test, with callers and trainers whose calls are recorded."""
 
 import asyncio
 import contextlib
@@ -25,22 +25,28 @@
 MODEL_SERVICE = "geometry-models"
 MODEL_NAME = "llm"
 PLAIN_SERVICE = "shop-desk"
-PROPAGATION_LIMIT = 5.0  # after withdrawal, drain or notice: the users' bound
-SETTLE_TIMEOUT = 20.0  # seconds for anything to settle on a busy machine
+PROPAGATION_LIMIT = 5.0
+"""Seconds within which all entries must apply a drain, a withdrawn key or a
+worker's notice that it stops; users rely on this limit."""
+
+SETTLE_TIMEOUT = 20.0
+"""Seconds that a condition may take to hold; long enough for a busy machine."""
+
 SESSION_POLICY = SessionPolicy(silence_timeout=3.0)
 
 
 class DeploymentHarness(Deployment):
-    """A small deployment with rules, one account and one key.
+    """A small deployment with rules, one client account and one key.
 
     Args:
-        engines: Model engines, in failure domains ``bench-a``, ``bench-b``, ….
-        services: Plain services, in the same failure domains.
-        entries: Entries.
-        engine_flags: Flags of the engines.
-        service_flags: Flags of the plain services.
-        entry_settings: Settings of the entries, besides the usual ones.
-        store_flags: Flags of the store.
+        engines: Number of model engines, one per failure domain ``bench-a``,
+            ``bench-b``, ….
+        services: Number of workers of the plain service, in the same failure domains.
+        entries: Number of entries, in the same failure domains.
+        engine_flags: Command-line flags of the engines.
+        service_flags: Command-line flags of the plain service's workers.
+        entry_settings: Settings of the entries, added to the default ones.
+        store_flags: Command-line flags of the store.
     """
 
     def __init__(
@@ -55,10 +61,10 @@
         store_flags: dict[str, Any] | None = None,
     ) -> None:
         super().__init__(entry_settings=entry_settings, store_flags=store_flags)
-        self.counts = (engines, services, entries)
-        self.flags = (engine_flags or {}, service_flags or {})
+        self.process_counts = (engines, services, entries)
+        self.worker_flags = (engine_flags or {}, service_flags or {})
         self.observations = Observations()
-        self.names = itertools.count()
+        self.name_counter = itertools.count()
         self.tasks: set[asyncio.Task[Any]] = set()
 
     def __enter__(self) -> "DeploymentHarness":
@@ -71,7 +77,7 @@
         return self
 
     def _start_all(self) -> None:
-        engines, services, entries = self.counts
+        engines, services, entries = self.process_counts
         domains = [f"bench-{letter}" for letter in "abc"]
         with ThreadPoolExecutor() as pool:
             started = [
@@ -81,7 +87,7 @@
                     domains[n],
                     MODEL_SERVICE,
                     model=MODEL_NAME,
-                    **self.flags[0],
+                    **self.worker_flags[0],
                 )
                 for n in range(engines)
             ]
@@ -91,7 +97,7 @@
                     f"desk-{n}",
                     domains[n],
                     PLAIN_SERVICE,
-                    **self.flags[1],
+                    **self.worker_flags[1],
                 )
                 for n in range(services)
             ]
@@ -102,76 +108,79 @@
         for future in started:
             future.result()
         self.entries = dict(sorted(self.entries.items()))
-        self.key, items = self.create_account("mill", weight=1.0)
-        self.observations.keys.append(self.key)
+        self.api_key, items = self.create_account("mill", weight=1.0)
+        self.observations.keys.append(self.api_key)
         self.change(*items, *make_rules())
         self.wait_until_ready()
 
     def __exit__(self, *exception: object) -> None:
-        # Planned stops have tests of their own; here they would only take time.
+        # The processes are killed, as graceful stops take time and have tests of
+        # their own.
         for process in self.process_manager.processes:
             if process.is_running:
                 process.process.kill()
         super().__exit__(*exception)
 
-    # Evidence
+    # Observations
 
-    def keep_journal(self, name: str) -> None:
-        """Reads a worker's journal before it is lost."""
-        self.observations.upstreams[name] = self.workers[name].read_journal()
+    def save_journal(self, name: str) -> None:
+        """Saves a worker's journal, which is lost when the worker ends."""
+        self.observations.upstream_journals[name] = self.workers[name].read_journal()
 
     def kill_worker(self, name: str) -> None:
-        """Kills a worker, and its journal with it."""
+        """Kills a worker and records that its journal is lost."""
         self.observations.lost_journals.add(name)
         self.workers[name].kill()
 
-    def collect(self) -> Observations:
-        """Reads all journals that are left."""
+    def collect_observations(self) -> Observations:
+        """Reads the journals of the running workers and of the store."""
         for name, process in self.workers.items():
             if process.is_running:
-                self.keep_journal(name)
-        self.observations.platform = self.store.read_journal()
+                self.save_journal(name)
+        self.observations.store_journal = self.store.read_journal()
         return self.observations
 
-    def check(self) -> Observations:
-        """Checks every promise that holds whatever the fault."""
-        observations = self.collect()
+    def collect_and_check(self) -> Observations:
+        """Collects the observations and checks all invariants on them."""
+        observations = self.collect_observations()
         check_invariants(observations)
         return observations
 
-    async def until(
+    async def wait_until(
         self,
         condition: Callable[[], bool],
-        what: str,
+        description: str,
         *,
-        seconds: float = SETTLE_TIMEOUT,
+        timeout: float = SETTLE_TIMEOUT,
     ) -> float:
-        """Waits for a condition while callers go on."""
-        return await asyncio.to_thread(self.wait_for, condition, what, seconds=seconds)
+        """Waits until a condition holds, while the event loop continues to run."""
+        return await asyncio.to_thread(
+            self.wait_for, condition, description, seconds=timeout
+        )
 
-    def read_control(self, entry: str) -> dict[str, Any]:
-        """Reads what an entry knows of the lease."""
+    def read_lease_status(self, entry: str) -> dict[str, Any]:
+        """Reads the state of the lease as an entry reports it."""
         return self.read_status(entry)["control"]
 
-    def find_holder(self, *, exclude: str = "") -> str:
-        """Finds the entry that holds the lease, or an empty name."""
+    def find_lease_holder(self, *, exclude: str = "") -> str:
+        """Returns the name of the lease holder, or an empty string if there is none."""
         for name, process in self.entries.items():
             is_asked = process.is_running and name != exclude
-            if is_asked and self.read_control(name)["is_holder"]:
+            if is_asked and self.read_lease_status(name)["is_holder"]:
                 return name
         return ""
 
-    def count_runs(self) -> int:
-        """Counts the runs in the running workers' journals."""
+    def count_current_runs(self) -> int:
+        """Counts the runs in the journals of the running workers."""
         running = [p for p in self.workers.values() if p.is_running]
         return sum(len(process.read_journal("run")) for process in running)
 
-    def drain(self, failure_domain: str) -> None:
+    def drain_domain(self, failure_domain: str) -> None:
         """Drains a failure domain."""
         self.change(Drain(name=failure_domain))
 
     async def run_command(self, *words: str) -> tuple[int, dict[str, Any]]:
-        """Runs an operator's command, and gives exit code and JSON answer."""
+        """Runs an operator's command and returns its exit code and JSON output."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -186,14 +195,24 @@
         assert process.returncode is not None
         return process.returncode, json.loads(output)
 
-    async def follow_history(self) -> list[dict[str, Any]]:
-        """Reads the accepted changes, and goes on from the last revision."""
+    async def sync_revision(self) -> list[dict[str, Any]]:
+        """Reads the accepted changes and adopts the last revision for later changes."""
         _, history = await self.run_command("config", "history")
         self._revision = history["changes"][-1]["revision"]
         return history["changes"]
 
-    def find_append(self, text: str) -> float:
-        """Finds when the store first took a configuration record with this text."""
+    def find_append_time(self, text: str) -> float:
+        """Returns when the first configuration record with a text was appended.
+
+        Args:
+            text: Part of the record.
+
+        Returns:
+            Seconds since the epoch.
+
+        Raises:
+            LookupError: No record holds the text.
+        """
         for entry in self.store.read_journal("append"):
             if entry["topic"] == "keyed.configuration" and text in entry["data"]:
                 return entry["at"]
@@ -204,12 +223,12 @@
     def make_caller(
         self, *, key: str = "", entries: list[str] | None = None, attempts: int = 6
     ) -> CallerClient:
-        """Makes a caller's client."""
+        """Creates a caller's client."""
         policy = RetryPolicy(maximum_attempts=attempts)
         urls = entries or self.entry_urls
-        return CallerClient(urls, key or self.key, policy=policy)
+        return CallerClient(urls, key or self.api_key, policy=policy)
 
-    async def order(
+    async def place_order(
         self,
         caller: CallerClient,
         *,
@@ -218,23 +237,23 @@
         account: str = "mill",
         path: str = "/orders",
     ) -> CallRecord:
-        """Sends an order, which must not run twice."""
-        name = f"order-{next(self.names)}"
+        """Sends an order, which must run at most once."""
+        name = f"order-{next(self.name_counter)}"
         body = json.dumps({"name": name, "padding": "x" * padding}).encode()
-        seen = CallRecord(account, "order", name, body)
-        return await self._see(seen, caller.call(path, body, timeout=timeout))
+        record = CallRecord(account, "order", name, body)
+        return await self._record_call(record, caller.call(path, body, timeout=timeout))
 
-    async def look_up(
+    async def send_lookup(
         self, caller: CallerClient, *, timeout: float = 30.0
     ) -> CallRecord:
-        """Sends a lookup, which may run twice."""
-        name = f"lookup-{next(self.names)}"
+        """Sends a lookup, which is idempotent."""
+        name = f"lookup-{next(self.name_counter)}"
         body = json.dumps({"name": name}).encode()
-        seen = CallRecord("mill", "lookup", name, body)
+        record = CallRecord("mill", "lookup", name, body)
         call = caller.call("/lookup", body, idempotent=True, timeout=timeout)
-        return await self._see(seen, call)
+        return await self._record_call(record, call)
 
-    async def complete(
+    async def send_completion(
         self,
         caller: CallerClient,
         *,
@@ -242,61 +261,63 @@
         stream: bool = False,
         timeout: float = 30.0,
     ) -> CallRecord:
-        """Completes a prompt of its own, streamed or whole."""
-        name = f"prompt {next(self.names)}"
+        """Sends a completion with a unique prompt, streamed or in one response."""
+        name = f"prompt {next(self.name_counter)}"
         request = {"prompt": name, "max_tokens": tokens, "seed": 7, "stream": stream}
         body = json.dumps(request).encode()
-        seen = CallRecord("mill", "completion", name, body)
+        record = CallRecord("mill", "completion", name, body)
         path = "/v1/completions"
         if stream:
             events = caller.stream(path, body, idempotent=True, timeout=timeout)
-            return await self._see_stream(seen, events)
+            return await self._record_stream(record, events)
         call = caller.call(path, body, idempotent=True, timeout=timeout)
-        return await self._see(seen, call)
+        return await self._record_call(record, call)
 
-    async def _see(self, seen: CallRecord, call: Awaitable[Any]) -> CallRecord:
-        seen.began = time.time()
-        self.observations.calls.append(seen)
+    async def _record_call(
+        self, record: CallRecord, call: Awaitable[Any]
+    ) -> CallRecord:
+        record.started_at = time.time()
+        self.observations.calls.append(record)
         try:
-            answer = await call
-            seen.status, seen.answer = answer.status, answer.body
+            response = await call
+            record.status, record.response = response.status, response.body
         except BuckthornstileError as error:
-            seen.code, seen.verdict = error.code.value, error.verdict.value
-        seen.ended = time.time()
-        return seen
+            record.error_code, record.verdict = error.code.value, error.verdict.value
+        record.finished_at = time.time()
+        return record
 
-    async def _see_stream(
-        self, seen: CallRecord, events: AsyncIterator[bytes]
+    async def _record_stream(
+        self, record: CallRecord, events: AsyncIterator[bytes]
     ) -> CallRecord:
-        seen.began = time.time()
-        self.observations.calls.append(seen)
+        record.started_at = time.time()
+        self.observations.calls.append(record)
         received: list[bytes] = []
-        seen.answer = received
+        record.response = received
         try:
             async for data in events:
                 received.append(data)
-            seen.status = 200
+            record.status = 200
         except BuckthornstileError as error:
-            seen.code, seen.verdict = error.code.value, error.verdict.value
-        seen.ended = time.time()
-        return seen
+            record.error_code, record.verdict = error.code.value, error.verdict.value
+        record.finished_at = time.time()
+        return record
 
     @contextlib.asynccontextmanager
-    async def load(
+    async def run_background_load(
         self, call: Callable[[], Awaitable[CallRecord]], *, clients: int = 4
     ) -> AsyncIterator[list[CallRecord]]:
-        """Calls again and again while the block runs; gives what has ended."""
-        ended: list[CallRecord] = []
+        """Repeats a call while the block runs; yields the list of finished calls."""
+        finished: list[CallRecord] = []
         stopping = False
 
         async def loop() -> None:
             while not stopping:
-                ended.append(await call())
+                finished.append(await call())
                 await asyncio.sleep(0.01)
 
         tasks = [asyncio.create_task(loop()) for _ in range(clients)]
         try:
-            yield ended
+            yield finished
         finally:
             stopping = True
             await asyncio.gather(*tasks)
@@ -304,9 +325,9 @@
     # Trainers
 
     def make_trainer(self, entries: list[str] | None = None) -> TrainerClient:
-        """Makes a trainer's client."""
+        """Creates a trainer's client."""
         urls = entries or self.entry_urls
-        return TrainerClient(urls, self.key, "geometry", policy=SESSION_POLICY)
+        return TrainerClient(urls, self.api_key, "geometry", policy=SESSION_POLICY)
 
     async def run_lot(
         self,
@@ -315,12 +336,12 @@
         *,
         get_version: Callable[[], int] = lambda: 1,
     ) -> list[SampleRecord]:
-        """Runs a lot, and keeps each sample as it comes."""
-        seen = []
+        """Runs a lot and records each sample on arrival."""
+        records = []
         async for sample in trainer.run_lot(specification):
             group = specification.groups[sample.slot.group]
             labels = [(r.first, r.last, r.version) for r in sample.labels]
-            one = SampleRecord(
+            record = SampleRecord(
                 "mill",
                 specification.lot,
                 (sample.slot.group, sample.slot.index),
@@ -332,14 +353,14 @@
                 get_version(),
                 specification.maximum_age,
             )
-            seen.append(one)
-            self.observations.samples.append(one)
+            records.append(record)
+            self.observations.samples.append(record)
         await trainer.close()
-        return seen
+        return records
 
 
 def make_rules() -> Iterator[Rule]:
-    """Makes the rules that each test uses."""
+    """Creates the routing rules that all tests use."""
     yield Rule(
         name="completions",
         path="/v1/completions",
@@ -361,7 +382,7 @@
 def make_lot(
     name: str, *, groups: int = 2, samples: int = 4, tokens: int = 100, **fields: Any
 ) -> LotSpecification:
-    """Makes a lot, with a prompt for each group."""
+    """Creates a lot with a unique prompt for each group."""
     return LotSpecification(
         lot=name,
         trainer="geometry",
--- a/tests/invariants.py
+++ b/tests/invariants.py
@@ -1,8 +1,8 @@
-"""Checks promises from what callers, trainers, upstreams and the platform saw.
+"""Checks invariants on what callers, trainers, upstreams and the platform observed.
 
-It reads records and journals only, and knows nothing of the product's inside:
-it imports nothing of it. An engine's text is known in advance
-(``standins.worker.make_token``), so that a short or crossed answer shows.
+The checks read only records and journals and import nothing of the product. The text
+that an engine generates is known in advance (``standins.worker.generate_tokens``), so
+that a truncated response, or one that belongs to another request, is detected.
 """
 
 import hashlib
@@ -15,24 +15,24 @@
 
 from standins.worker import generate_tokens
 
-RAN_STATUS = 200
+STATUS_OK = 200
 
 
 @dataclass(slots=True)
 class CallRecord:
-    """One call, as its caller saw it.
+    """A call, as its caller observed it.
 
     Args:
         account: The client account of the key.
         kind: ``completion``, ``lookup`` or ``order``.
-        name: The caller's own name for it, which stands in the body.
-        body: The body, as it was sent.
-        status: The answer's status, or 0 for an error.
-        answer: The answer's body, or the events' data of a stream.
-        code: The error's code.
-        verdict: The error's verdict.
-        began: When it began, in seconds since the epoch.
-        ended: When it ended; 0 until then.
+        name: The caller's unique name for the call, which is part of the body.
+        body: The request body, as it was sent.
+        status: The response's status, or 0 for an error.
+        response: The response body, or the data of each event of a stream.
+        error_code: The error's code, or an empty string.
+        verdict: The error's verdict, or an empty string.
+        started_at: When the call started, in seconds since the epoch.
+        finished_at: When the call finished, in seconds since the epoch; 0 until then.
     """
 
     account: str
@@ -40,35 +40,35 @@
     name: str
     body: bytes
     status: int = 0
-    answer: bytes | list[bytes] = b""
-    code: str = ""
+    response: bytes | list[bytes] = b""
+    error_code: str = ""
     verdict: str = ""
-    began: float = 0.0
-    ended: float = 0.0
+    started_at: float = 0.0
+    finished_at: float = 0.0
 
 
 @dataclass(slots=True)
 class SampleRecord:
-    """One sample, as its trainer saw it.
+    """A sample, as its trainer observed it.
 
     Args:
         account: The client account of the key.
-        lot: The lot.
-        slot: Group and index.
+        lot: The name of the lot.
+        slot: The sample's group and its index in the group.
         prompt: The group's prompt.
-        tokens: The tokens wanted.
-        body: The answer.
+        token_count: Number of tokens that were requested.
         seed: The sample's own seed.
-        labels: First and last event and version, of each range.
-        trainer_version: Where the trainer was when it came.
-        maximum_age: The lot's bound, in versions.
+        body: The response body.
+        labels: First event, last event and weight version of each range.
+        trainer_version: The trainer's weight version when the sample arrived.
+        maximum_age: The lot's limit on the age of samples, in versions.
     """
 
     account: str
     lot: str
     slot: tuple[int, int]
     prompt: str
-    tokens: int
+    token_count: int
     seed: int
     body: dict[str, Any]
     labels: list[tuple[int, int, int]]
@@ -78,223 +78,248 @@
 
 @dataclass(slots=True)
 class Observations:
-    """All that was seen from outside.
+    """Everything that was observed from outside the product.
 
     Args:
-        keys: All keys in clear.
-        calls: What callers saw.
-        samples: What trainers saw.
-        upstreams: Each worker's journal.
-        platform: The store's journal, with the calls to the platform.
-        lost_journals: Workers that were killed, and their journals with them.
+        keys: All API keys in clear text.
+        calls: The calls, as their callers observed them.
+        samples: The samples, as their trainers observed them.
+        upstream_journals: The journal of each worker.
+        store_journal: The store's journal, including the calls to the platform.
+        lost_journals: Names of the workers that ended before their last journal
+            was read.
     """
 
     keys: list[str] = field(default_factory=list)
     calls: list[CallRecord] = field(default_factory=list)
     samples: list[SampleRecord] = field(default_factory=list)
-    upstreams: dict[str, list[dict[str, Any]]] = field(default_factory=dict)
-    platform: list[dict[str, Any]] = field(default_factory=list)
+    upstream_journals: dict[str, list[dict[str, Any]]] = field(default_factory=dict)
+    store_journal: list[dict[str, Any]] = field(default_factory=list)
     lost_journals: set[str] = field(default_factory=set)
 
-    def list_entries(self, what: str) -> list[dict[str, Any]]:
-        """Lists the entries of one kind in all upstreams' journals."""
-        journals = self.upstreams.values()
-        return [e for journal in journals for e in journal if e["what"] == what]
+    def list_journal_entries(self, entry_type: str) -> list[dict[str, Any]]:
+        """Lists the entries of one type in the journals of all upstreams."""
+        journals = self.upstream_journals.values()
+        return [e for journal in journals for e in journal if e["what"] == entry_type]
 
 
 def check_invariants(observations: Observations) -> None:
-    """Checks every promise that holds whatever the fault."""
+    """Checks the invariants that hold under any fault."""
     check_no_key_leak(observations)
     check_at_most_once(observations)
     check_responses(observations)
     check_samples(observations)
     check_single_lease_holder(observations)
-    check_windows(observations)
+    check_usage_windows(observations)
 
 
 def check_no_key_leak(observations: Observations) -> None:
-    """No upstream saw a key, in clear or hashed, in header, path or body."""
+    """Checks that no upstream received a key, in clear or hashed."""
     digests = [hashlib.sha256(key.encode()).hexdigest() for key in observations.keys]
-    for name, journal in observations.upstreams.items():
+    for name, journal in observations.upstream_journals.items():
         text = json.dumps(journal)
         for secret in [*observations.keys, *digests]:
-            assert secret not in text, f"{name} saw a key"
-        assert "authorization" not in text.lower(), f"{name} saw the header"
+            assert secret not in text, f"{name} received a key"
+        assert "authorization" not in text.lower(), (
+            f"{name} received the Authorization header"
+        )
 
 
-def count_runs(observations: Observations) -> Counter[str]:
-    """Counts how often each call ran, by the name in its body."""
+def count_runs_by_name(observations: Observations) -> Counter[str]:
+    """Counts the runs of each call, by the name in its body."""
     runs: Counter[str] = Counter()
-    for entry in observations.list_entries("run"):
+    for entry in observations.list_journal_entries("run"):
         body = json.loads(entry["body"] or "{}")
         runs[body.get("name") or body.get("prompt", "")] += 1
     return runs
 
 
 def check_at_most_once(observations: Observations) -> None:
-    """Each order ran at most once, and what its caller was told is true.
+    """Checks that each order ran at most once and that all verdicts are true.
 
-    ``not_run`` means no run, ever; an answer of 200 means one run. A verdict
-    ``may_have_run`` leaves both open.
+    The verdict ``not_run`` means that the call never ran, and a response with status
+    200 means that it ran once. The verdict ``may_have_run`` allows both.
     """
-    runs = count_runs(observations)
+    runs = count_runs_by_name(observations)
     orders = {call.name for call in observations.calls if call.kind == "order"}
-    doubled = {name: runs[name] for name in orders if runs[name] > 1}
-    assert not doubled, f"ran more than once: {doubled}"
+    duplicates = {name: runs[name] for name in orders if runs[name] > 1}
+    assert not duplicates, f"orders ran more than once: {duplicates}"
     for call in observations.calls:
         if call.verdict == "not_run":
-            assert runs[call.name] == 0, f"{call.name} ran despite {call.code}"
-        if call.kind == "order" and call.status == RAN_STATUS:
+            assert runs[call.name] == 0, (
+                f"{call.name} ran, but failed as not run with {call.error_code}"
+            )
+        if call.kind == "order" and call.status == STATUS_OK:
             is_known = runs[call.name] == 1 or bool(observations.lost_journals)
-            assert is_known, f"{call.name} was answered and never ran"
+            assert is_known, f"{call.name} has a response but never ran"
 
 
 def check_responses(observations: Observations) -> None:
-    """Each 200 is the whole right answer to its own request; errors have codes."""
+    """Checks that each 200 response matches its request and each error has a code."""
     for call in observations.calls:
-        if call.status == RAN_STATUS:
-            _check_answer(call)
-        elif call.ended:
-            assert call.code and call.verdict, f"{call.name}: an error without a code"
+        if call.status == STATUS_OK:
+            _check_response(call)
+        elif call.finished_at:
+            assert call.error_code and call.verdict, (
+                f"{call.name}: error without a code or verdict"
+            )
 
 
-def _check_answer(call: CallRecord) -> None:
+def _check_response(call: CallRecord) -> None:
     if call.kind == "completion":
         request = json.loads(call.body)
-        wanted = generate_tokens(
+        expected = generate_tokens(
             request["prompt"], request["seed"], request["max_tokens"]
         )
-        assert read_tokens(call.answer) == wanted, f"{call.name}: not its own text"
+        assert parse_tokens(call.response) == expected, f"{call.name}: wrong text"
         return
-    assert call.answer == b"answer to " + call.body, f"{call.name}: crossed"
+    assert call.response == b"answer to " + call.body, (
+        f"{call.name}: response of another request"
+    )
 
 
-def read_tokens(answer: bytes | list[bytes]) -> list[str]:
-    """Reads the tokens of a whole answer or of a stream's events."""
-    if isinstance(answer, bytes):
-        return list(json.loads(answer)["events"])
-    return [data.decode() for data in answer]
+def parse_tokens(response: bytes | list[bytes]) -> list[str]:
+    """Returns the tokens of a single response or of a stream's events."""
+    if isinstance(response, bytes):
+        return list(json.loads(response)["events"])
+    return [data.decode() for data in response]
 
 
 def check_samples(observations: Observations) -> None:
-    """Samples came once, whole, truly labelled and young enough.
+    """Checks that samples are unique, complete, labelled correctly and recent enough.
 
-    The workers' journals say which version made each event of a run; runs of one
-    sample are found by its prompt and seed. A sample of an engine whose journal
-    was lost is checked but for its label.
+    The workers' journals hold the weight version that generated each event of a run;
+    the runs of a sample are found by its prompt and seed. If a journal was lost, the
+    versions in the labels are not compared with the journals.
     """
-    seen = Counter((s.account, s.lot, s.slot) for s in observations.samples)
-    doubled = {slot: count for slot, count in seen.items() if count > 1}
-    assert not doubled, f"delivered more than once: {doubled}"
-    made: dict[tuple[str, int], list[dict[str, Any]]] = defaultdict(list)
-    for entry in observations.list_entries("run"):
+    deliveries = Counter((s.account, s.lot, s.slot) for s in observations.samples)
+    duplicates = {slot: count for slot, count in deliveries.items() if count > 1}
+    assert not duplicates, f"samples delivered more than once: {duplicates}"
+    runs_by_sample: dict[tuple[str, int], list[dict[str, Any]]] = defaultdict(list)
+    for entry in observations.list_journal_entries("run"):
         body = json.loads(entry["body"] or "{}")
         if "prompt" in body:
-            made[body["prompt"], body.get("seed", 0)].append(entry)
+            runs_by_sample[body["prompt"], body.get("seed", 0)].append(entry)
     for sample in observations.samples:
-        _check_sample(sample, made, bool(observations.lost_journals))
+        _check_sample(sample, runs_by_sample, bool(observations.lost_journals))
 
 
 def _check_sample(
     sample: SampleRecord,
-    made: dict[tuple[str, int], list[dict[str, Any]]],
+    runs_by_sample: dict[tuple[str, int], list[dict[str, Any]]],
     journal_lost: bool,
 ) -> None:
     name = f"{sample.lot} {sample.slot}"
     tokens = sample.body["events"]
-    wanted = generate_tokens(sample.prompt, sample.seed, sample.tokens)
-    assert tokens == wanted, f"{name}: not its own text"
-    assert sample.labels, f"{name}: no label"
+    expected = generate_tokens(sample.prompt, sample.seed, sample.token_count)
+    assert tokens == expected, f"{name}: wrong text"
+    assert sample.labels, f"{name}: no labels"
     covered = [i for first, last, _ in sample.labels for i in range(first, last + 1)]
-    assert covered == list(range(sample.tokens)), f"{name}: labels {sample.labels}"
+    assert covered == list(range(sample.token_count)), (
+        f"{name}: labels {sample.labels} do not cover it"
+    )
     versions = sorted({version for _, _, version in sample.labels})
     oldest = sample.trainer_version - sample.maximum_age
-    assert versions[0] >= oldest, f"{name}: version {versions[0]}, bound {oldest}"
-    runs = made.get((sample.prompt, sample.seed), [])
-    assert runs or journal_lost, f"{name}: no engine made it"
+    assert versions[0] >= oldest, (
+        f"{name}: version {versions[0]} is older than {oldest}"
+    )
+    runs = runs_by_sample.get((sample.prompt, sample.seed), [])
+    assert runs or journal_lost, f"{name}: no engine generated it"
     if journal_lost:
         return
-    truth = find_event_versions(runs)
+    versions_by_event = find_event_versions(runs)
     for first, last, version in sample.labels:
         for event in range(first, last + 1):
-            assert version in truth[event], f"{name}: event {event} is not {version}"
+            assert version in versions_by_event[event], (
+                f"{name}: event {event} is not of version {version}"
+            )
 
 
 def find_event_versions(runs: list[dict[str, Any]]) -> dict[int, set[int]]:
-    """Finds which versions made each event, over all runs of one sample."""
-    truth: dict[int, set[int]] = defaultdict(set)
+    """Returns the versions that generated each event, over all runs of a sample."""
+    versions_by_event: dict[int, set[int]] = defaultdict(set)
     for run in runs:
         first = int(run["headers"].get("Last-Event-Id", 0))
         for number, version in enumerate(run.get("versions", ())):
-            truth[first + number].add(version)
-    return truth
+            versions_by_event[first + number].add(version)
+    return versions_by_event
 
 
 def check_single_lease_holder(observations: Observations) -> None:
-    """Orders and reports of two processes never interleave.
+    """Checks that load orders and usage reports come from one lease holder at a time.
 
-    A process whose report the platform took must have claimed the lease in the store
-    since any other process last acted. The terms of reports never fall, nor those of
-    the orders that each engine took, and a term is one process's.
+    A process whose report the platform accepted must have claimed the lease in the
+    store after the last report of any other process. The terms of reports never
+    decrease, nor do those of the load orders that each engine accepted, and each term
+    belongs to one process.
     """
-    acted = ""
-    claimed: set[str] = set()
-    for entry in observations.platform:
+    last_holder = ""
+    claimants: set[str] = set()
+    for entry in observations.store_journal:
         if entry["what"] == "append" and entry["topic"] == "duties":
-            claimed |= _find_claims(entry["data"])
+            claimants |= _find_claims(entry["data"])
         elif entry["what"] == "usage":
-            by = entry["holder"]
-            assert by, "the platform does not see who acts"
-            assert by == acted or by in claimed, f"{by} acts after {acted} unclaimed"
-            claimed = claimed if by == acted else set()
-            acted = by
-            claimed.discard(by)
-    reports = [e for e in observations.platform if e["what"] == "usage"]
-    check_terms([(e["term"], e["holder"]) for e in reports])
-    for journal in observations.upstreams.values():
+            holder = entry["holder"]
+            assert holder, "a usage report has no holder"
+            assert holder == last_holder or holder in claimants, (
+                f"{holder} reported after {last_holder} without claiming the lease"
+            )
+            claimants = claimants if holder == last_holder else set()
+            last_holder = holder
+            claimants.discard(holder)
+    reports = [e for e in observations.store_journal if e["what"] == "usage"]
+    check_terms_monotonic([(e["term"], e["holder"]) for e in reports])
+    for journal in observations.upstream_journals.values():
         orders = [e for e in journal if e["what"] == "order"]
-        check_terms([(e["fence"], e["holder"]) for e in orders])
+        check_terms_monotonic([(e["fence"], e["holder"]) for e in orders])
 
 
 def _find_claims(data: str) -> set[str]:
-    """Finds the processes that claim the lease in an append's records."""
+    """Returns the processes that claim the lease in the records of an append."""
     names = set()
     for text in re.findall(r'\["lease", "([^"]+)", null\]', data):
         names.add(text.partition("#")[0])
     return names
 
 
-def check_terms(acts: list[tuple[int, str]]) -> None:
-    """Terms never fall, and each has one holder."""
-    for (before, _), (after, _) in itertools.pairwise(acts):
-        assert before <= after, f"term {after} acted after term {before}"
+def check_terms_monotonic(term_holders: list[tuple[int, str]]) -> None:
+    """Checks that terms never decrease and that each has one holder."""
+    for (before, _), (after, _) in itertools.pairwise(term_holders):
+        assert before <= after, f"term {after} follows term {before}"
     holders: dict[int, set[str]] = defaultdict(set)
-    for term, by in acts:
-        holders[term].add(by)
+    for term, holder in term_holders:
+        holders[term].add(holder)
     shared = {term: names for term, names in holders.items() if len(names) > 1}
-    assert not shared, f"terms of two processes: {shared}"
+    assert not shared, f"terms with several holders: {shared}"
 
 
-def check_windows(observations: Observations) -> None:
-    """No window was reported with two figures."""
-    figures: dict[int, set[str]] = defaultdict(set)
-    for report in list_reports(observations):
-        figures[report["window"]].add(json.dumps(report["counts"], sort_keys=True))
-    doubled = {window: texts for window, texts in figures.items() if len(texts) > 1}
-    assert not doubled, f"reported with two figures: {doubled}"
+def check_usage_windows(observations: Observations) -> None:
+    """Checks that no usage window was reported with different counts."""
+    counts_by_window: dict[int, set[str]] = defaultdict(set)
+    for report in list_usage_reports(observations):
+        counts_by_window[report["window"]].add(
+            json.dumps(report["counts"], sort_keys=True)
+        )
+    duplicates = {
+        window: texts for window, texts in counts_by_window.items() if len(texts) > 1
+    }
+    assert not duplicates, f"usage windows reported with different counts: {duplicates}"
 
 
-def list_reports(observations: Observations) -> list[dict[str, Any]]:
-    """Lists the usage reports that the platform took."""
+def list_usage_reports(observations: Observations) -> list[dict[str, Any]]:
+    """Lists the usage reports that the platform accepted."""
     return [
-        entry["body"] for entry in observations.platform if entry["what"] == "usage"
+        entry["body"]
+        for entry in observations.store_journal
+        if entry["what"] == "usage"
     ]
 
 
-def count_reported(observations: Observations) -> Counter[str]:
-    """Adds up the reported requests of each account, each window once."""
+def count_reported_usage(observations: Observations) -> Counter[str]:
+    """Adds up the reported requests of each account, counting each window once."""
     windows = {
-        report["window"]: report["counts"] for report in list_reports(observations)
+        report["window"]: report["counts"]
+        for report in list_usage_reports(observations)
     }
     totals: Counter[str] = Counter()
     for counts in windows.values():
@@ -302,22 +327,23 @@
     return totals
 
 
-def count_received(observations: Observations) -> Counter[str]:
-    """Counts the whole answers and samples that each account received."""
-    totals = Counter(c.account for c in observations.calls if c.status == RAN_STATUS)
+def count_delivered_usage(observations: Observations) -> Counter[str]:
+    """Counts the complete responses and samples that each account received."""
+    totals = Counter(c.account for c in observations.calls if c.status == STATUS_OK)
     totals.update(sample.account for sample in observations.samples)
     return totals
 
 
 def check_usage_exact(observations: Observations) -> None:
-    """Reported equals received; holds where no answer was lost on its way.
+    """Checks that the reported usage equals the delivered usage.
 
-    That is: no process was killed, no connection cut and no caller left.
+    It holds only if no response was lost in transit: no process was killed, no
+    connection was broken and no caller disconnected.
     """
-    assert count_reported(observations) == count_received(observations)
+    assert count_reported_usage(observations) == count_delivered_usage(observations)
 
 
 def list_request_times(observations: Observations, upstream: str) -> list[float]:
     """Lists when requests arrived at a worker, in seconds since the epoch."""
-    journal = observations.upstreams[upstream]
+    journal = observations.upstream_journals[upstream]
     return [entry["at"] for entry in journal if entry["what"] == "run"]
--- a/tests/test_disconnects.py
+++ b/tests/test_disconnects.py
@@ -1,4 +1,4 @@
-"""Connections between entry and worker are cut in the middle of a message."""
+"""Connections between entry and worker break in the middle of a message."""
 
 import asyncio
 import contextlib
@@ -16,39 +16,42 @@
     make_lot,
 )
 
-CUT_BYTES = (1, 3, 50, 400, 1900, 9000)
-PADDING_BYTES = 1200  # makes a request longer than one read of its head
+DISCONNECT_OFFSETS = (1, 3, 50, 400, 1900, 9000)
+PADDING_BYTES = 1200  # makes the request longer than one read of its headers
 
 
 @pytest.mark.parametrize("direction", [TO_TARGET, FROM_TARGET])
 @pytest.mark.parametrize("name", ["desk-0", "engine-0"])
-def test_cut_at_several_bytes(name, direction):
+def test_calls_succeed_after_connection_breaks(name, direction):
+    """A connection breaks after few or many bytes of a request or a response."""
+
     async def scenario(harness, proxy):
         caller = harness.make_caller()
         kinds = [
-            lambda: harness.order(caller, padding=PADDING_BYTES),
-            lambda: harness.look_up(caller),
-            lambda: harness.complete(caller),
-            lambda: harness.complete(caller, stream=True),
+            lambda: harness.place_order(caller, padding=PADDING_BYTES),
+            lambda: harness.send_lookup(caller),
+            lambda: harness.send_completion(caller),
+            lambda: harness.send_completion(caller, stream=True),
         ]
-        turns = itertools.cycle(kinds)
-        for number, count in enumerate(CUT_BYTES):
-            async with harness.load(lambda: next(turns)()):
+        next_calls = itertools.cycle(kinds)
+        for number, count in enumerate(DISCONNECT_OFFSETS):
+            async with harness.run_background_load(lambda: next(next_calls)()):
                 proxy.disconnect_after(count, direction)
-                await harness.until(
-                    lambda n=number: proxy.disconnect_count > n, f"cut at {count}"
+                await harness.wait_until(
+                    lambda n=number: proxy.disconnect_count > n,
+                    f"the connection breaks after {count} bytes",
                 )
-            again = await asyncio.gather(*[call() for call in kinds])
-            assert [call.status for call in again] == [200] * 4
-        harness.check()
+            records = await asyncio.gather(*[call() for call in kinds])
+            assert [call.status for call in records] == [200] * 4
+        harness.collect_and_check()
 
-    with make_world() as (harness, proxies):
+    with start_proxied_deployment() as (harness, proxies):
         asyncio.run(scenario(harness, proxies[name]))
 
 
 @contextlib.contextmanager
-def make_world():
-    """Starts a world whose workers are reached by relays only."""
+def start_proxied_deployment():
+    """Starts a deployment whose workers are reached only through faulty proxies."""
     with DeploymentHarness(entries=1) as harness, contextlib.ExitStack() as stack:
         proxies = {}
         workers = (
@@ -57,7 +60,7 @@
         )
         for name, service, models in workers:
             address = harness.allocate_address()
-            port = find_port(address)
+            port = find_free_port(address)
             proxy = proxies[name] = stack.enter_context(FaultyProxy(address, port))
             harness._addresses -= 1
             harness.add_worker(
@@ -72,24 +75,25 @@
         yield harness, proxies
 
 
-def find_port(address):
+def find_free_port(address):
     with socket.socket() as probe:
         probe.bind((address, 0))
         return probe.getsockname()[1]
 
 
-def test_cut_in_the_middle_of_a_lot():
+def test_lot_completes_after_connection_breaks():
     async def scenario(harness, proxy):
         trainer = harness.make_trainer()
         lot = make_lot("lot-0", groups=2, samples=8, tokens=60)
         running = asyncio.create_task(harness.run_lot(trainer, lot))
         for number, count in enumerate((700, 2500, 5000)):
             proxy.disconnect_after(count, FROM_TARGET)
-            await harness.until(
-                lambda n=number: proxy.disconnect_count > n, f"cut at byte {count}"
+            await harness.wait_until(
+                lambda n=number: proxy.disconnect_count > n,
+                f"the connection breaks after {count} bytes",
             )
         assert len(await running) == 16
-        harness.check()
+        harness.collect_and_check()
 
-    with make_world() as (harness, proxies):
+    with start_proxied_deployment() as (harness, proxies):
         asyncio.run(scenario(harness, proxies["engine-0"]))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Workers' entries lapse while the store is away; a new upstream starts cold."""
+"""Workers' registrations expire during a store outage; a new upstream starts cold."""
 
 import asyncio
 import itertools
@@ -6,43 +6,57 @@
 from tests.harness import PLAIN_SERVICE, DeploymentHarness
 
 COLD_RATE = 20.0  # requests a second
-COLD_SECONDS = 4.0
-STORE_RETENTION = 60.0
+COLD_SECONDS = 4.0  # how long a new upstream is cold
+STORE_RETENTION = 60.0  # seconds
 
 
-def test_service_goes_on_while_entries_lapse():
-    """Entries that ran out while the store was away are no proof of an end."""
+def test_calls_continue_when_registrations_expire_during_store_outage():
+    """A registration that expires during an outage doesn't mean that a worker ended.
+
+    Workers can't renew their registrations while the store rejects appends.
+    """
 
     async def scenario(harness):
         caller = harness.make_caller(attempts=1)
-        async with harness.load(lambda: harness.look_up(caller)) as ended:
-            await harness.until(lambda: len(ended) > 10, "calls run")
+        async with harness.run_background_load(
+            lambda: harness.send_lookup(caller)
+        ) as finished:
+            await harness.wait_until(lambda: len(finished) > 10, "calls succeed")
             harness.store.add_fault("busy", target="append")
             for name in harness.workers:
-                # The store itself removes what did not write in time.
+                # The store removes registrations that are not renewed in time.
                 harness.store.call("POST", "/control/drop", {"key": name})
             await asyncio.sleep(1.0)
             harness.store.clear_faults()
-            began = ended[-1].began
-            await harness.until(
-                lambda: ended[-1].began > began + 3.0, "calls go on", seconds=30
+            outage_ended_at = finished[-1].started_at
+            await harness.wait_until(
+                lambda: finished[-1].started_at > outage_ended_at + 3.0,
+                "calls continue",
+                timeout=30,
             )
-        assert {call.status for call in ended} <= {200, 0}
-        served = [call for call in ended if call.began > began + 2.0]
-        assert {call.code for call in served} == {""}
-        harness.check()
+        assert {call.status for call in finished} <= {200, 0}
+        served = [call for call in finished if call.started_at > outage_ended_at + 2.0]
+        assert {call.error_code for call in served} == {""}
+        harness.collect_and_check()
 
     with DeploymentHarness(services=2) as harness:
         asyncio.run(scenario(harness))
 
 
 def test_a_cold_upstream_gets_no_more_than_it_bears():
-    """The bound holds over all entries together, in any second."""
+    """A new upstream gets at most its cold rate, summed over all entries.
+
+    The limit is checked over any second.
+    """
 
     async def scenario(harness):
         caller = harness.make_caller(attempts=1)
-        async with harness.load(lambda: harness.look_up(caller), clients=24) as ended:
-            await harness.until(lambda: len(ended) > 100, "there is a load")
+        async with harness.run_background_load(
+            lambda: harness.send_lookup(caller), clients=24
+        ) as finished:
+            await harness.wait_until(
+                lambda: len(finished) > 100, "the load has started"
+            )
             worker = await asyncio.to_thread(
                 harness.add_worker,
                 "desk-1",
@@ -53,10 +67,14 @@
             await asyncio.sleep(COLD_SECONDS - 0.5)
             journal = await asyncio.to_thread(worker.read_journal, "run")
         starts = sorted(entry["at"] for entry in journal)
-        assert len(starts) >= COLD_RATE, "the cold upstream was hardly tried"
+        assert len(starts) >= COLD_RATE, (
+            "the cold upstream got too few requests for the check"
+        )
         for first, later in itertools.pairwise(starts[:: int(COLD_RATE) + 1]):
-            assert later - first >= 1.0, "more than it bears in one second"
-        harness.check()
+            assert later - first >= 1.0, (
+                "more requests than the cold rate in one second"
+            )
+        harness.collect_and_check()
 
     with DeploymentHarness(
         services=1,
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,7 @@
-"""The holder of the lease is paused past its lease, or dies; nobody acts as two."""
+"""Lease holders are killed, or paused until the lease expires.
+
+Only one process at a time may send usage reports.
+"""
 
 import asyncio
 
@@ -12,56 +15,79 @@
 
 
 @pytest.mark.parametrize("fault", ["slow", "lose_answer"])
-def test_a_paused_holder_acts_no_more(fault):
+def test_paused_lease_holder_stops_reporting(fault):
+    """A lease holder is paused until its lease expires and another entry holds it.
+
+    When it resumes it must not send the usage reports that it had started.
+    """
+
     async def scenario(harness):
         caller = harness.make_caller()
-        async with harness.load(lambda: harness.look_up(caller), clients=2):
-            # Reports are under way, or have lost their answer, at any pause.
+        async with harness.run_background_load(
+            lambda: harness.send_lookup(caller), clients=2
+        ):
+            # At any pause a report is in flight or its response is lost.
             harness.store.add_fault(fault, target="duty", seconds=0.2)
-            await harness.until(
-                lambda: harness.find_holder() != "", "one holds the lease"
+            await harness.wait_until(
+                lambda: harness.find_lease_holder() != "", "an entry holds the lease"
+            )
+            first = harness.find_lease_holder()
+            await harness.wait_until(
+                lambda: first in list_reporters(harness), "the lease holder reports"
             )
-            first = harness.find_holder()
-            await harness.until(lambda: first in list_reporters(harness), "it reports")
             harness.entries[first].pause()
-            others = lambda: harness.find_holder(exclude=first)
-            await harness.until(lambda: others() != "", "another holds the lease")
-            second = others()
-            await harness.until(lambda: second in list_reporters(harness), "it reports")
+            find_other_holder = lambda: harness.find_lease_holder(exclude=first)
+            await harness.wait_until(
+                lambda: find_other_holder() != "", "another entry holds the lease"
+            )
+            second = find_other_holder()
+            await harness.wait_until(
+                lambda: second in list_reporters(harness), "the lease holder reports"
+            )
             reported = list_reporters(harness).count(first)
-            term = harness.read_control(second)["term"]
+            term = harness.read_lease_status(second)["term"]
             harness.entries[first].resume()
-            await harness.until(
-                lambda: harness.read_control(first)["term"] >= term, "the first knows"
+            await harness.wait_until(
+                lambda: harness.read_lease_status(first)["term"] >= term,
+                "the first holder has seen the new term",
             )
             count = len(list_reporters(harness))
-            await harness.until(
-                lambda: len(list_reporters(harness)) >= count + 2, "reports go on"
+            await harness.wait_until(
+                lambda: len(list_reporters(harness)) >= count + 2, "reports continue"
             )
             assert list_reporters(harness).count(first) == reported
-        harness.check()
+        harness.collect_and_check()
 
     with DeploymentHarness(services=1, entries=3) as harness:
         asyncio.run(scenario(harness))
 
 
-def test_a_killed_holder_is_followed():
+def test_killed_lease_holder_is_replaced():
     async def scenario(harness):
         caller = harness.make_caller()
-        async with harness.load(lambda: harness.look_up(caller), clients=2):
+        async with harness.run_background_load(
+            lambda: harness.send_lookup(caller), clients=2
+        ):
             for _ in range(2):
-                await harness.until(lambda: harness.find_holder() != "", "one holds it")
-                holder = harness.find_holder()
-                await harness.until(
-                    lambda h=holder: h in list_reporters(harness), "acts"
+                await harness.wait_until(
+                    lambda: harness.find_lease_holder() != "",
+                    "an entry holds the lease",
+                )
+                holder = harness.find_lease_holder()
+                await harness.wait_until(
+                    lambda h=holder: h in list_reporters(harness),
+                    "the lease holder reports",
                 )
                 harness.entries[holder].kill()
-            await harness.until(
-                lambda: harness.find_holder() != "", "the last holds it"
+            await harness.wait_until(
+                lambda: harness.find_lease_holder() != "",
+                "the last entry holds the lease",
+            )
+            last = harness.find_lease_holder()
+            await harness.wait_until(
+                lambda: last in list_reporters(harness), "the lease holder reports"
             )
-            last = harness.find_holder()
-            await harness.until(lambda: last in list_reporters(harness), "it reports")
-        harness.check()
+        harness.collect_and_check()
 
     with DeploymentHarness(services=1, entries=3) as harness:
         asyncio.run(scenario(harness))
--- a/tests/test_malformed_clients.py
+++ b/tests/test_malformed_clients.py
@@ -1,4 +1,4 @@
-"""Garbage, slow senders, large bodies and early leavers at the door."""
+"""Clients send garbage, slow or oversized requests, or disconnect early."""
 
 import asyncio
 import contextlib
@@ -8,28 +8,28 @@
 from buckthornstile.base import ErrorCode
 from tests.harness import DeploymentHarness
 
-CODES = {code.value for code in ErrorCode}
+ERROR_CODES = {code.value for code in ErrorCode}
 MAX_BODY_BYTES = 65536
-READ_SECONDS = 10.0
+READ_TIMEOUT = 10.0  # seconds
 HEAD = "POST /lookup HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {key}\r\n"
 
 
-async def send(process, data, *, leave=False):
-    """Sends raw bytes, and reads the answer until the door closes or is silent."""
+async def send_raw(process, data, *, disconnect=False):
+    """Sends raw bytes and returns the response, or what arrived before the timeout."""
     reader, writer = await asyncio.open_connection(process.address, process.port)
-    answer = b""
+    response = b""
     with contextlib.suppress(TimeoutError, OSError):
         writer.write(data)
         await writer.drain()
-        if not leave:
-            async with asyncio.timeout(READ_SECONDS):
-                answer = await read_answer(reader)
+        if not disconnect:
+            async with asyncio.timeout(READ_TIMEOUT):
+                response = await read_response(reader)
     writer.transport.abort()
-    return answer
+    return response
 
 
-async def read_answer(reader):
-    """Reads one answer of a declared length, or until the door closes."""
+async def read_response(reader):
+    """Reads one response, up to its Content-Length or until the connection closes."""
     with contextlib.suppress(asyncio.IncompleteReadError):
         head = await reader.readuntil(b"\r\n\r\n")
         for line in head.lower().split(b"\r\n"):
@@ -40,24 +40,28 @@
     return b""
 
 
-def read_code(answer):
-    return json.loads(answer.partition(b"\r\n\r\n")[2])["error"]["code"]
+def parse_error_code(response):
+    return json.loads(response.partition(b"\r\n\r\n")[2])["error"]["code"]
 
 
-def test_what_comes_to_the_door_harms_nobody_else():
+def test_malformed_requests_are_refused_and_affect_no_other_caller():
+    """Slow, random, oversized and invalid requests arrive beside a caller's orders."""
+
     async def scenario(harness):
         entry = harness.entries["entry-0"]
-        head = HEAD.format(key=harness.key)
+        head = HEAD.format(key=harness.api_key)
         caller = harness.make_caller(attempts=1)
-        slow = [
+        slow_connections = [
             await asyncio.open_connection(entry.address, entry.port) for _ in range(50)
         ]
-        async with harness.load(lambda: harness.order(caller)) as ended:
-            for _, writer in slow:
+        async with harness.run_background_load(
+            lambda: harness.place_order(caller)
+        ) as finished:
+            for _, writer in slow_connections:
                 writer.write(head[:40].encode())
             garbage = [secrets.token_bytes(4096) for _ in range(20)]
             await asyncio.gather(
-                *[send(entry, g, leave=n % 2) for n, g in enumerate(garbage)]
+                *[send_raw(entry, g, disconnect=n % 2) for n, g in enumerate(garbage)]
             )
             declared = f"{head}Content-Length: {MAX_BODY_BYTES + 1}\r\n\r\n".encode()
             chunk = f"{MAX_BODY_BYTES + 1:x}\r\n".encode() + b"x" * (MAX_BODY_BYTES + 1)
@@ -87,21 +91,26 @@
                     empty.replace("/lookup", "/nowhere").encode()
                 ],
             }
-            assert refused.keys() <= CODES
-            for code, requests in refused.items():
+            assert refused.keys() <= ERROR_CODES
+            for error_code, requests in refused.items():
                 for request in requests:
-                    assert read_code(await send(entry, request)) == code, request[:90]
-            count = len(ended)
-            await harness.until(lambda: len(ended) > count + 20, "others go on")
-        for _, writer in slow:
+                    assert (
+                        parse_error_code(await send_raw(entry, request)) == error_code
+                    ), request[:90]
+            count = len(finished)
+            await harness.wait_until(
+                lambda: len(finished) > count + 20, "the caller's orders continue"
+            )
+        for _, writer in slow_connections:
             writer.transport.abort()
-        assert {call.status for call in ended} == {200}
+        assert {call.status for call in finished} == {200}
         assert entry.is_running
-        await harness.until(
-            lambda: harness.read_status("entry-0")["open_calls"] == 0, "nothing is left"
+        await harness.wait_until(
+            lambda: harness.read_status("entry-0")["open_calls"] == 0,
+            "no calls are open",
         )
-        assert harness.key not in entry.read_log()
-        harness.check()
+        assert harness.api_key not in entry.read_log()
+        harness.collect_and_check()
 
     with DeploymentHarness(
         engines=1,
@@ -112,25 +121,31 @@
         asyncio.run(scenario(harness))
 
 
-def test_callers_who_leave_early_hold_no_place():
+def test_callers_that_disconnect_early_leave_no_open_calls():
     async def scenario(harness):
         entry = harness.entries["entry-0"]
         caller = harness.make_caller(attempts=1)
         request = (
-            f"{HEAD.format(key=harness.key)}Content-Length: 2\r\n\r\n{{}}".encode()
+            f"{HEAD.format(key=harness.api_key)}Content-Length: 2\r\n\r\n{{}}".encode()
         )
-        async with harness.load(lambda: harness.order(caller)) as ended:
+        async with harness.run_background_load(
+            lambda: harness.place_order(caller)
+        ) as finished:
             for _ in range(10):
                 await asyncio.gather(
-                    *[send(entry, request, leave=True) for _ in range(50)]
+                    *[send_raw(entry, request, disconnect=True) for _ in range(50)]
+                )
+                count = len(finished)
+                await harness.wait_until(
+                    lambda n=count: len(finished) > n + 20,
+                    "the caller's orders continue",
                 )
-                count = len(ended)
-                await harness.until(lambda n=count: len(ended) > n + 20, "others go on")
-        assert {call.status for call in ended} == {200}
-        await harness.until(
-            lambda: harness.read_status("entry-0")["open_calls"] == 0, "nothing is left"
+        assert {call.status for call in finished} == {200}
+        await harness.wait_until(
+            lambda: harness.read_status("entry-0")["open_calls"] == 0,
+            "no calls are open",
         )
-        harness.check()
+        harness.collect_and_check()
 
     with DeploymentHarness(services=1, entries=1) as harness:
         asyncio.run(scenario(harness))
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators change the configuration at the same time."""
+"""Operators change the configuration concurrently."""
 
 import asyncio
 
@@ -16,11 +16,18 @@
 """
 
 
-def test_two_operators_race(tmp_path):
+def test_concurrent_changes_of_two_operators_are_applied_or_refused(tmp_path):
+    """Two operators apply different sheets based on the same revision.
+
+    In the second turn a key is withdrawn at the same time. Each command must either
+    make a revision of its own or fail with a conflict.
+    """
+
     async def scenario(harness):
-        before = len(await harness.follow_history())
-        outcomes = []
-        # All read the same revision before any of their changes is in the store.
+        before = len(await harness.sync_revision())
+        results = []
+        # Slow appends let all commands read the same revision before any change is
+        # in the store.
         harness.store.add_fault("slow", target="append", seconds=1.0)
         for turn in range(2):
             sheets = []
@@ -29,40 +36,48 @@
                 weight = {"ann": 2, "ben": 3}[operator] + 2 * turn
                 sheet.write_text(SHEET.format(weight=weight, other=f"{operator}{turn}"))
                 sheets.append(str(sheet))
-            race = [
+            commands = [
                 harness.run_command("config", "apply", sheet, "--store_timeout=5")
                 for sheet in sheets
             ]
             if turn == 1:
-                race.append(
+                commands.append(
                     harness.run_command(
                         "keys", "withdraw", "mill-key", "--store_timeout=5"
                     )
                 )
-            outcomes += await asyncio.gather(*race)
+            results += await asyncio.gather(*commands)
         harness.store.clear_faults()
-        codes = {code for code, _ in outcomes}
+        codes = {code for code, _ in results}
         assert codes <= {ExitCode.OK, ExitCode.CONFLICT}
-        won = [a["revision"] for code, a in outcomes if code == 0 and a["changed"]]
-        # Each accepted command has a revision of its own, and no other exists.
-        changes = await harness.follow_history()
-        made = [change["revision"] for change in changes[before:]]
-        assert sorted(won) == made == list(range(before + 1, before + 1 + len(made)))
-        lost = [answer["code"] for code, answer in outcomes if code]
-        assert set(lost) <= {"configuration.conflict"}
-        await check_in_force(harness, changes[-1])
+        accepted_revisions = [
+            output["revision"]
+            for code, output in results
+            if code == 0 and output["changed"]
+        ]
+        # Each accepted command made one revision, and there are no others.
+        changes = await harness.sync_revision()
+        revisions = [change["revision"] for change in changes[before:]]
+        assert (
+            sorted(accepted_revisions)
+            == revisions
+            == list(range(before + 1, before + 1 + len(revisions)))
+        )
+        refusals = [output["code"] for code, output in results if code]
+        assert set(refusals) <= {"configuration.conflict"}
+        await check_in_effect(harness, changes[-1])
 
-    async def check_in_force(harness, last):
+    async def check_in_effect(harness, last):
         _, shown = await harness.run_command("config", "show")
         assert shown["revision"] == last["revision"]
         for entry in harness.entries:
-            await harness.until(
+            await harness.wait_until(
                 lambda e=entry: (
                     harness.read_status(e)["configuration"]["revision"]
                     == last["revision"]
                 ),
-                "it is in force",
-                seconds=5.0,
+                "the last revision is in effect",
+                timeout=5.0,
             )
         keys = [item for item in shown["items"] if item["name"] == "mill-key"]
         assert keys[0]["withdrawn"] is True
--- a/tests/test_samples.py
+++ b/tests/test_samples.py
@@ -1,4 +1,4 @@
-"""Weights change, engines fail and restart, and trainers go on, during a lot."""
+"""Weights change, and engines fail or restart, during a lot."""
 
 import asyncio
 
@@ -6,22 +6,22 @@
 
 from tests.harness import DeploymentHarness, make_lot
 
-SLOW_ENGINE = {"event_seconds": 0.005, "load_seconds": 0.05}
+SLOW_ENGINE_FLAGS = {"event_seconds": 0.005, "load_seconds": 0.05}
 FAULTS = {
     "none": {},
     "error": {"kind": "error", "count": 3},
     "full": {"kind": "full", "count": 3},
-    "cut": {"kind": "cut", "value": 40, "count": 3},
-    "cut at the end": {"kind": "cut_end", "count": 3},
+    "disconnect": {"kind": "cut", "value": 40, "count": 3},
+    "disconnect at the end": {"kind": "cut_end", "count": 3},
     "stall": {"kind": "stall", "value": 10, "seconds": 2.0, "count": 2},
-    "lost order": {"kind": "mute_order", "count": 2},
-    "late order": {"kind": "late_order", "seconds": 0.8, "count": 1},
+    "lost load order": {"kind": "mute_order", "count": 2},
+    "late load order": {"kind": "late_order", "seconds": 0.8, "count": 1},
 }
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_labels_and_age_while_weights_change(fault):
-    """Both engines load the versions that the trainer names in the middle."""
+def test_labels_and_age_are_right_while_weights_change(fault):
+    """The trainer names new weight versions during a lot; both engines load them."""
 
     async def scenario(harness):
         trainer = harness.make_trainer()
@@ -31,21 +31,21 @@
         running = asyncio.create_task(
             harness.run_lot(trainer, lot, get_version=lambda: version)
         )
-        # The second step makes all that runs at its beginning too old.
-        for newer in (2, 4):
+        # All samples that are running when version 4 is named become too old.
+        for new_version in (2, 4):
             count = len(harness.observations.samples) + 8
-            await harness.until(
-                lambda n=count: len(harness.observations.samples) >= n, "samples come"
+            await harness.wait_until(
+                lambda n=count: len(harness.observations.samples) >= n, "samples arrive"
             )
             add_fault(harness, fault)
-            version = newer
+            version = new_version
             await trainer.set_version(version)
         assert len(await running) == 64
         versions = {v for s in harness.observations.samples for _, _, v in s.labels}
-        assert len(versions) > 1, "no sample was made by newer weights"
-        harness.check()
+        assert len(versions) > 1, "no sample was generated with newer weights"
+        harness.collect_and_check()
 
-    with DeploymentHarness(engines=2, engine_flags=SLOW_ENGINE) as harness:
+    with DeploymentHarness(engines=2, engine_flags=SLOW_ENGINE_FLAGS) as harness:
         asyncio.run(scenario(harness))
 
 
@@ -55,20 +55,20 @@
             engine.add_fault(**FAULTS[fault])
 
 
-def test_a_restarted_engine_serves_what_it_says():
+def test_labels_are_right_after_engine_restarts_with_newer_weights():
     async def scenario(harness):
         trainer = harness.make_trainer()
         lot = make_lot("lot-0", groups=2, samples=8, tokens=100)
         running = asyncio.create_task(harness.run_lot(trainer, lot))
-        await harness.until(
-            lambda: len(harness.observations.samples) >= 2, "samples come"
+        await harness.wait_until(
+            lambda: len(harness.observations.samples) >= 2, "samples arrive"
         )
         harness.kill_worker("engine-0")
         await asyncio.to_thread(
             harness.add_engine, "engine-0", "bench-a", "geometry-models", version=3
         )
         assert len(await running) == 16
-        harness.check()
+        harness.collect_and_check()
 
-    with DeploymentHarness(engines=2, engine_flags=SLOW_ENGINE) as harness:
+    with DeploymentHarness(engines=2, engine_flags=SLOW_ENGINE_FLAGS) as harness:
         asyncio.run(scenario(harness))
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -1,4 +1,4 @@
-"""A planned stop of any role cuts no request and hands lots over."""
+"""Graceful stops of entries and workers break no request and hand lots over."""
 
 import asyncio
 from urllib.error import URLError
@@ -7,24 +7,24 @@
 
 from tests.harness import SETTLE_TIMEOUT, DeploymentHarness, make_lot
 
-SLOW = {
+SLOW_WORKER_FLAGS = {
     "engine_flags": {"event_seconds": 0.005, "drain_seconds": 4.0},
     "service_flags": {"work_seconds": 0.1, "drain_seconds": 4.0},
 }
 
 
 class RoundRobinBalancer:
-    """Sends each call to the next entry that says it is ready."""
+    """Sends each call to the next entry that reports that it is ready."""
 
     def __init__(self, harness):
         self.harness = harness
-        self.turn = 0
+        self.next_index = 0
 
     async def choose(self):
         for _ in range(100):
-            self.turn += 1
+            self.next_index += 1
             entries = list(self.harness.entries.values())
-            entry = entries[self.turn % len(entries)]
+            entry = entries[self.next_index % len(entries)]
             if await asyncio.to_thread(is_ready, entry):
                 return self.harness.make_caller(entries=[entry.url], attempts=1)
         raise AssertionError("no entry is ready")
@@ -38,27 +38,32 @@
 
 
 @pytest.mark.parametrize("role", ["entry", "worker"])
-def test_a_planned_stop_cuts_no_request(role):
+def test_graceful_stop_breaks_no_request(role):
+    """Processes are stopped while orders, streams and a lot run on them."""
+
     async def scenario(harness):
         balancer = RoundRobinBalancer(harness)
 
         async def order():
-            return await harness.order(await balancer.choose())
+            return await harness.place_order(await balancer.choose())
 
         async def stream():
             caller = await balancer.choose()
-            return await harness.complete(caller, tokens=200, stream=True)
+            return await harness.send_completion(caller, tokens=200, stream=True)
 
         trainer = harness.make_trainer()
         lot = make_lot("lot-0", groups=4, samples=8, tokens=200)
-        async with harness.load(order) as orders, harness.load(stream) as streams:
-            await harness.until(
-                lambda: len(orders) > 20 and len(streams) > 4, "calls run"
+        async with (
+            harness.run_background_load(order) as orders,
+            harness.run_background_load(stream) as streams,
+        ):
+            await harness.wait_until(
+                lambda: len(orders) > 20 and len(streams) > 4, "calls succeed"
             )
-            # Begun last, so that the stop comes while most of it is still to run.
+            # The lot is started last, so that most of it runs after the stop.
             running = asyncio.create_task(harness.run_lot(trainer, lot))
-            await harness.until(
-                lambda: harness.observations.samples != [], "the lot runs"
+            await harness.wait_until(
+                lambda: harness.observations.samples != [], "the lot has started"
             )
             stopping = [harness.entries["entry-0"]]
             if role == "worker":
@@ -73,12 +78,14 @@
             ]
             assert codes == [0] * len(stopping)
             count = len(orders)
-            await harness.until(lambda: len(orders) > count + 20, "orders go on")
-        failed = [c.code for c in [*orders, *streams] if c.status != 200]
-        assert not failed
+            await harness.wait_until(
+                lambda: len(orders) > count + 20, "orders continue"
+            )
+        failure_codes = [c.error_code for c in [*orders, *streams] if c.status != 200]
+        assert not failure_codes
         assert len(await running) == 32
         assert trainer.attach_count == (2 if role == "entry" else 1)
-        harness.check()
+        harness.collect_and_check()
 
-    with DeploymentHarness(engines=2, services=2, **SLOW) as harness:
+    with DeploymentHarness(engines=2, services=2, **SLOW_WORKER_FLAGS) as harness:
         asyncio.run(scenario(harness))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store is down or slow, or its answers are lost after taking effect."""
+"""The store is down or slow, or its responses are lost after an append."""
 
 import asyncio
 import contextlib
@@ -7,39 +7,47 @@
 
 from buckthornstile.commands import ExitCode
 from tests.harness import DeploymentHarness
-from tests.invariants import check_usage_exact, count_received, count_reported
+from tests.invariants import (
+    check_usage_exact,
+    count_delivered_usage,
+    count_reported_usage,
+)
 
-OUTAGE = 2.5  # seconds; with what a busy machine adds, under the bound below
-KEY_BOUND = 5.0  # seconds, the entries' default
+OUTAGE_SECONDS = 2.5  # well below KEY_TRUST_LIMIT, as a busy machine adds delay
+KEY_TRUST_LIMIT = 5.0  # seconds; the entries' default
 
 
 @pytest.mark.parametrize("fault", ["busy", "slow", "silent"])
-def test_calls_go_on_while_the_store_fails(fault):
-    """They do for as long as keys may be trusted unseen, and again afterwards."""
+def test_calls_continue_during_store_outage(fault):
+    """The outage is shorter than the time for which entries trust their known keys."""
 
     async def scenario(harness):
         caller = harness.make_caller()
-        async with harness.load(lambda: harness.order(caller)) as ended:
-            await harness.until(lambda: len(ended) >= 20, "orders run")
+        async with harness.run_background_load(
+            lambda: harness.place_order(caller)
+        ) as finished:
+            await harness.wait_until(lambda: len(finished) >= 20, "orders succeed")
             harness.store.add_fault(fault, seconds=30)
-            await asyncio.sleep(OUTAGE)
+            await asyncio.sleep(OUTAGE_SECONDS)
             harness.store.clear_faults()
-            count = len(ended)
-            await harness.until(lambda: len(ended) >= count + 50, "orders go on")
+            count = len(finished)
+            await harness.wait_until(
+                lambda: len(finished) >= count + 50, "orders continue"
+            )
         assert count >= 50
-        assert {call.code for call in ended} == {""}
-        await wait_billed(harness)
-        check_usage_exact(harness.check())
+        assert {call.error_code for call in finished} == {""}
+        await wait_for_usage_reports(harness)
+        check_usage_exact(harness.collect_and_check())
 
     with DeploymentHarness(services=2) as harness:
         asyncio.run(scenario(harness))
 
 
-def test_an_operator_is_told_that_the_store_fails():
+def test_operator_command_fails_during_store_outage():
     async def scenario(harness):
         harness.store.add_fault("busy")
-        code, answer = await harness.run_command("drain", "bench-b")
-        assert (code, answer["ok"]) == (ExitCode.PLATFORM_UNAVAILABLE, False)
+        code, output = await harness.run_command("drain", "bench-b")
+        assert (code, output["ok"]) == (ExitCode.PLATFORM_UNAVAILABLE, False)
         harness.store.clear_faults()
         assert (await harness.run_command("drain", "bench-b"))[1]["changed"]
 
@@ -47,82 +55,97 @@
         asyncio.run(scenario(harness))
 
 
-def test_keys_are_not_trusted_for_ever_without_the_store():
+def test_calls_are_refused_when_keys_are_out_of_date():
+    """The store is down for longer than entries trust the keys that they know."""
+
     async def scenario(harness):
         caller = harness.make_caller(attempts=1)
         harness.store.add_fault("busy")
-        async with harness.load(lambda: harness.look_up(caller)) as ended:
-            await harness.until(
-                lambda: ended and ended[-1].code != "", "calls are refused"
+        async with harness.run_background_load(
+            lambda: harness.send_lookup(caller)
+        ) as finished:
+            await harness.wait_until(
+                lambda: finished and finished[-1].error_code != "", "calls are refused"
             )
             harness.store.clear_faults()
-            await harness.until(lambda: ended[-1].status == 200, "calls run again")
-        refused = [call for call in ended if call.status != 200]
-        assert {call.code for call in refused} == {"process.configuration_old"}
-        # What ran when the time was up was broken off; all later ones never began.
-        later = [call for call in refused if call.began > refused[0].ended]
+            await harness.wait_until(
+                lambda: finished[-1].status == 200, "calls succeed again"
+            )
+        refused = [call for call in finished if call.status != 200]
+        assert {call.error_code for call in refused} == {"process.configuration_old"}
+        # Calls that ran when the limit passed were cancelled; no later call ran.
+        later = [call for call in refused if call.started_at > refused[0].finished_at]
         assert {call.verdict for call in later} == {"not_run"}
-        assert refused[0].began - ended[0].began < KEY_BOUND
-        harness.check()
+        assert refused[0].started_at - finished[0].started_at < KEY_TRUST_LIMIT
+        harness.collect_and_check()
 
     with DeploymentHarness(services=1) as harness:
         asyncio.run(scenario(harness))
 
 
-async def wait_billed(harness):
-    """Waits until all that was received is reported, or nothing changes any more."""
+async def wait_for_usage_reports(harness):
+    """Waits until the reported usage equals the delivered usage, or for 30 s."""
     with contextlib.suppress(TimeoutError):
-        await harness.until(
+        await harness.wait_until(
             lambda: (
-                count_reported(harness.collect())
-                == count_received(harness.observations)
+                count_reported_usage(harness.collect_observations())
+                == count_delivered_usage(harness.observations)
             ),
             "usage is reported",
-            seconds=30,
+            timeout=30,
         )
 
 
-def test_lost_answers_double_nothing():
+def test_lost_store_responses_cause_no_duplicates():
+    """Appends and usage reports take effect, but their responses are lost.
+
+    Their retries must not change the configuration or report usage twice.
+    """
+
     async def scenario(harness):
         caller = harness.make_caller()
-        before = len(await harness.follow_history())
+        before = len(await harness.sync_revision())
         harness.store.add_fault("lose_answer", target="append", count=60)
         harness.store.add_fault("lose_answer", target="duty", count=3)
-        async with harness.load(lambda: harness.order(caller)) as ended:
-            code, answer = await harness.run_command("drain", "bench-b")
-            assert (code, answer["changed"]) == (ExitCode.OK, True)
-            await harness.until(lambda: len(ended) >= 50, "orders go on")
-        changes = await harness.follow_history()
+        async with harness.run_background_load(
+            lambda: harness.place_order(caller)
+        ) as finished:
+            code, output = await harness.run_command("drain", "bench-b")
+            assert (code, output["changed"]) == (ExitCode.OK, True)
+            await harness.wait_until(lambda: len(finished) >= 50, "orders continue")
+        changes = await harness.sync_revision()
         assert len(changes) == before + 1
         harness.store.clear_faults()
-        assert {call.code for call in ended} == {""}
-        await wait_billed(harness)
-        check_usage_exact(harness.check())
+        assert {call.error_code for call in finished} == {""}
+        await wait_for_usage_reports(harness)
+        check_usage_exact(harness.collect_and_check())
 
     with DeploymentHarness(services=2) as harness:
         asyncio.run(scenario(harness))
 
 
-def test_history_that_is_dropped_loses_nothing():
+def test_compaction_of_store_loses_no_configuration():
+    """The store drops old records before an entry starts and while entries read."""
+
     async def scenario(harness):
         caller = harness.make_caller()
         code, _ = await harness.run_command("drain", "bench-b")
         assert code == ExitCode.OK
         harness.store.call("POST", "/control/compact")
         harness.add_entry("entry-9", "bench-a")
-        await harness.until(
+        await harness.wait_until(
             lambda: harness.read_status("entry-9")["drained"] == ["bench-b"],
-            "a new entry knows",
+            "the new entry has applied the drain",
         )
         harness.store.call("POST", "/control/compact")
         await harness.run_command("restore", "bench-b")
         for name in harness.entries:
-            await harness.until(
+            await harness.wait_until(
                 lambda name=name: harness.read_status(name)["drained"] == [],
-                "all know",
+                "all entries have applied the restore",
             )
-        assert (await harness.order(caller)).status == 200
-        harness.check()
+        assert (await harness.place_order(caller)).status == 200
+        harness.collect_and_check()
 
     with DeploymentHarness(services=2) as harness:
         asyncio.run(scenario(harness))
--- a/tests/test_withdrawal.py
+++ b/tests/test_withdrawal.py
@@ -1,4 +1,4 @@
-"""A key is withdrawn while its streams run and an entry cannot read the store."""
+"""A key is withdrawn while its streams run and an entry cannot reach the store."""
 
 import asyncio
 
@@ -7,20 +7,27 @@
 from tests.harness import PROPAGATION_LIMIT, DeploymentHarness, make_lot
 from tests.invariants import list_request_times
 
-KEY_CODES = {"key.withdrawn", "key.unknown", "process.configuration_old"}
+REFUSAL_CODES = {"key.withdrawn", "key.unknown", "process.configuration_old"}
 SLOW_ENGINE = {"event_seconds": 0.02}
 
 
-def test_a_withdrawn_key_stops_also_at_an_entry_cut_off_from_the_store():
+def test_withdrawn_key_is_refused_by_entry_without_store_connection():
+    """A key is withdrawn while its streams and a lot run.
+
+    One entry has lost its connection to the store and can't read the withdrawal.
+    """
+
     async def scenario(harness, proxy):
         caller = harness.make_caller(attempts=1)
         streams = [
-            asyncio.create_task(harness.complete(caller, tokens=3000, stream=True))
+            asyncio.create_task(
+                harness.send_completion(caller, tokens=3000, stream=True)
+            )
             for _ in range(6)
         ]
-        await harness.until(
-            lambda: all(len(c.answer) > 5 for c in harness.observations.calls),
-            "all run",
+        await harness.wait_until(
+            lambda: all(len(c.response) > 5 for c in harness.observations.calls),
+            "all streams have started",
         )
         lot = asyncio.create_task(
             harness.run_lot(
@@ -28,32 +35,37 @@
                 make_lot("lot-0", tokens=3000),
             )
         )
-        await harness.until(lambda: harness.count_runs() > 6, "a lot runs")
-        singles = [
-            harness.make_caller(entries=[u], attempts=1) for u in harness.entry_urls
+        await harness.wait_until(
+            lambda: harness.count_current_runs() > 6, "the lot has started"
+        )
+        callers = [
+            harness.make_caller(entries=[url], attempts=1) for url in harness.entry_urls
         ]
-        turns = [lambda c=single: harness.look_up(c) for single in singles]
-        async with harness.load(turns[0]) as first, harness.load(turns[1]) as second:
-            await harness.until(
-                lambda: {c.status for c in [*first, *second]} == {200}, "calls run"
+        lookups = [lambda c=client: harness.send_lookup(c) for client in callers]
+        async with (
+            harness.run_background_load(lookups[0]) as first,
+            harness.run_background_load(lookups[1]) as second,
+        ):
+            await harness.wait_until(
+                lambda: {c.status for c in [*first, *second]} == {200}, "calls succeed"
             )
             proxy.disconnect()
             code, _ = await harness.run_command("keys", "withdraw", "mill-key")
             assert code == ExitCode.OK
-            deadline = harness.find_append('"withdrawn":true') + PROPAGATION_LIMIT
-            ended = await asyncio.gather(*streams)
+            deadline = harness.find_append_time('"withdrawn":true') + PROPAGATION_LIMIT
+            finished = await asyncio.gather(*streams)
             await asyncio.gather(lot, return_exceptions=True)
-            await harness.until(
-                lambda: min(first[-1].began, second[-1].began) > deadline,
-                "both entries are asked after the bound",
+            await harness.wait_until(
+                lambda: min(first[-1].started_at, second[-1].started_at) > deadline,
+                "both entries get calls after the limit",
             )
-        assert all(call.ended < deadline for call in ended)
-        assert {call.code for call in ended} <= KEY_CODES
-        late = [c for c in [*first, *second] if c.began > deadline]
-        assert {call.code for call in late} <= KEY_CODES
+        assert all(call.finished_at < deadline for call in finished)
+        assert {call.error_code for call in finished} <= REFUSAL_CODES
+        late = [c for c in [*first, *second] if c.started_at > deadline]
+        assert {call.error_code for call in late} <= REFUSAL_CODES
         assert {call.verdict for call in late} == {"not_run"}
-        assert lot.exception().code.value in KEY_CODES
-        harness.check()
+        assert lot.exception().code.value in REFUSAL_CODES
+        harness.collect_and_check()
         for name in harness.workers:
             assert not [
                 at
