--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""Examples, and the demo that runs a whole small deployment."""
+"""Examples, and a demo that runs a small deployment."""
--- a/examples/_caller_pool.py
+++ b/examples/_caller_pool.py
@@ -1,4 +1,4 @@
-"""Callers of two client accounts, who check every answer that they get."""
+"""Callers of two client accounts that check every response."""
 
 import asyncio
 import json
@@ -16,28 +16,28 @@
 from standins.worker import generate_tokens
 
 CALL_TIMEOUT = 20.0  # seconds
-READY_INTERVAL = 0.1  # seconds
-READY_TIMEOUT = 1.0  # seconds
+READY_INTERVAL = 0.1  # seconds between two readiness checks
+READY_TIMEOUT = 1.0  # seconds for a readiness check
 STREAM_TOKENS = 60
 
 
 class ReadinessBalancer:
-    """Knows which entries are ready, as the platform's balancer does.
+    """Keeps the list of ready entries, as the platform's load balancer does.
 
     Args:
-        urls: The entries' URLs.
+        urls: URLs of the entries.
     """
 
     def __init__(self, urls: list[str]) -> None:
         self.urls = urls
-        self.ready = list(urls)
+        self.ready_urls = list(urls)
 
     async def run(self) -> None:
-        """Asks each entry for its readiness again and again."""
+        """Checks the readiness of all entries periodically until cancelled."""
         while True:
-            answers = await asyncio.gather(*(_is_ready(url) for url in self.urls))
-            pairs = zip(self.urls, answers, strict=True)
-            self.ready = [url for url, ready in pairs if ready]
+            results = await asyncio.gather(*(_is_ready(url) for url in self.urls))
+            pairs = zip(self.urls, results, strict=True)
+            self.ready_urls = [url for url, ready in pairs if ready]
             await asyncio.sleep(READY_INTERVAL)
 
 
@@ -51,78 +51,84 @@
 
 @dataclass(slots=True)
 class CallStatistics:
-    """What the callers saw.
+    """Statistics of the callers' calls.
 
     Args:
-        whole: Whole and right answers, by kind of call.
-        refused: Calls that were refused for good as not run, by code.
-        cut: Calls that may have run and gave no whole answer, by code.
-        short: Answers that came as whole and were not the right ones.
-        answered_orders: Names of the orders that were answered.
-        refused_names: Names of the calls that were refused as not run.
-        repeated_orders: Orders that were sent again under the same key.
-        untrue_refusals: Repeated orders that were said not to have run.
+        completed: Number of complete and correct responses, by kind of call.
+        refused: Number of calls that failed after all retries with the verdict
+            ``not_run``, by error code.
+        interrupted: Number of calls that may have run but got no complete response,
+            by error code.
+        wrong: Number of complete responses with wrong content.
+        answered_orders: Names of the orders that got a response.
+        refused_names: Names of the calls that failed with the verdict ``not_run``.
+        repeated_orders: Number of orders that were sent again with the same
+            idempotency key.
+        false_refusals: Number of repeated orders that failed with the verdict
+            ``not_run`` although they had run.
     """
 
-    whole: Counter[str] = field(default_factory=Counter)
+    completed: Counter[str] = field(default_factory=Counter)
     refused: Counter[str] = field(default_factory=Counter)
-    cut: Counter[str] = field(default_factory=Counter)
-    short: int = 0
+    interrupted: Counter[str] = field(default_factory=Counter)
+    wrong: int = 0
     answered_orders: set[str] = field(default_factory=set)
     refused_names: set[str] = field(default_factory=set)
     repeated_orders: int = 0
-    untrue_refusals: int = 0
+    false_refusals: int = 0
 
-    def count(self, kind: str, *, right: bool) -> None:
-        """Counts an answer that came as a whole one."""
-        if right:
-            self.whole[kind] += 1
+    def record_response(self, kind: str, *, is_correct: bool) -> None:
+        """Counts a complete response."""
+        if is_correct:
+            self.completed[kind] += 1
         else:
-            self.short += 1
+            self.wrong += 1
 
-    def count_error(self, error: BuckthornstileError, name: str) -> None:
-        """Counts a call that failed after all its attempts."""
+    def record_error(self, error: BuckthornstileError, name: str) -> None:
+        """Counts a call that failed after all its retries."""
         if error.verdict is Verdict.NOT_RUN:
             self.refused[error.code.value] += 1
             self.refused_names.add(name)
         else:
-            self.cut[error.code.value] += 1
+            self.interrupted[error.code.value] += 1
 
     @property
     def total(self) -> int:
-        """All calls that have ended."""
-        ended = self.whole.total() + self.refused.total() + self.cut.total()
-        return ended + self.short
+        """Number of calls that have finished."""
+        finished = (
+            self.completed.total() + self.refused.total() + self.interrupted.total()
+        )
+        return finished + self.wrong
 
 
 class CallerPool:
-    """Sends calls of all kinds until told to stop.
+    """Sends calls of all kinds until it is stopped.
 
     Args:
-        balancer: Knows the ready entries.
-        keys: Each client account's key in clear.
-        tally: Counts what the callers see.
-        pause: Seconds between two calls of one caller.
+        balancer: The balancer with the list of ready entries.
+        keys: The API key of each client account, in clear text.
+        statistics: The statistics in which the calls are counted.
+        interval: Seconds between two calls of one caller.
     """
 
     def __init__(
         self,
         balancer: ReadinessBalancer,
         keys: dict[str, str],
-        tally: CallStatistics,
+        statistics: CallStatistics,
         *,
-        pause: float,
+        interval: float,
     ) -> None:
         self.balancer = balancer
         self.keys = keys
-        self.tally = tally
-        self.pause = pause
+        self.statistics = statistics
+        self.interval = interval
         self._stopping = False
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Starts one caller for each account and kind of call."""
-        makers = [
+        """Starts the callers of each client account."""
+        callers = [
             ("mill-7", self._send_order),
             ("mill-7", self._look_up),
             ("mill-7", self._stream),
@@ -131,17 +137,17 @@
             ("tooth-geometry", self._stream),
             ("public", self._read_hours),
         ]
-        for account, send in makers:
+        for account, send in callers:
             name = f"{account}-{len(self._tasks)}"
             self._tasks.append(asyncio.create_task(self._repeat(send, account, name)))
 
     async def stop(self) -> None:
-        """Lets each caller finish its last call."""
+        """Stops all callers after their current calls."""
         self._stopping = True
         await asyncio.gather(*self._tasks)
 
     def cancel(self) -> None:
-        """Breaks off whatever is still open."""
+        """Cancels all calls that are still open."""
         for task in self._tasks:
             task.cancel()
 
@@ -152,49 +158,49 @@
             try:
                 await send(self._make_client(account), f"{name}-{number}")
             except BuckthornstileError as error:
-                self.tally.count_error(error, name)
-            await asyncio.sleep(self.pause)
+                self.statistics.record_error(error, name)
+            await asyncio.sleep(self.interval)
 
     def _make_client(self, account: str) -> CallerClient:
-        urls = self.balancer.ready or self.balancer.urls
+        urls = self.balancer.ready_urls or self.balancer.urls
         policy = RetryPolicy(maximum_attempts=10)
         return CallerClient(urls, self.keys.get(account, ""), policy=policy)
 
-    # Every call below is sent as one that may not be repeated, so that the
-    # library tries again only what was not run, and hides no cut request.
+    # All calls below are sent as not idempotent, so that the client library retries
+    # only those that did not run and hides no interrupted request.
 
     async def _send_order(self, client: CallerClient, name: str) -> None:
         body = json.dumps({"order": name, "blades": 3}).encode()
-        answer = await client.call(
+        response = await client.call(
             "/v1/orders", body, idempotency_key=name, timeout=CALL_TIMEOUT
         )
-        if answer.status == 200:
-            self.tally.answered_orders.add(name)
-        right = _is_echo(answer.status, answer.body, body)
-        self.tally.count("non_idempotent", right=right)
+        if response.status == 200:
+            self.statistics.answered_orders.add(name)
+        is_correct = _is_echo(response.status, response.body, body)
+        self.statistics.record_response("non_idempotent", is_correct=is_correct)
         await self._repeat_order(client, name, body)
 
     async def _repeat_order(self, client: CallerClient, name: str, body: bytes) -> None:
-        """Sends an order again, as a caller does that lost the answer."""
-        self.tally.repeated_orders += 1
+        """Sends an order again, as a caller does that has lost the response."""
+        self.statistics.repeated_orders += 1
         try:
-            answer = await client.call("/v1/orders", body, idempotency_key=name)
+            response = await client.call("/v1/orders", body, idempotency_key=name)
         except BuckthornstileError as error:
-            # Any verdict but this one is true of an order that has run.
-            self.tally.untrue_refusals += error.verdict is Verdict.NOT_RUN
+            # The order has run, so that only this verdict is false.
+            self.statistics.false_refusals += error.verdict is Verdict.NOT_RUN
         else:
-            self.tally.short += not _is_echo(answer.status, answer.body, body)
+            self.statistics.wrong += not _is_echo(response.status, response.body, body)
 
     async def _look_up(self, client: CallerClient, name: str) -> None:
         body = json.dumps({"look_up": name}).encode()
-        answer = await client.call("/v1/orders/lookup", body, timeout=CALL_TIMEOUT)
-        right = _is_echo(answer.status, answer.body, body)
-        self.tally.count("idempotent", right=right)
+        response = await client.call("/v1/orders/lookup", body, timeout=CALL_TIMEOUT)
+        is_correct = _is_echo(response.status, response.body, body)
+        self.statistics.record_response("idempotent", is_correct=is_correct)
 
     async def _read_hours(self, client: CallerClient, name: str) -> None:
-        answer = await client.call("/v1/hours", method="GET", timeout=CALL_TIMEOUT)
-        right = _is_echo(answer.status, answer.body, b"")
-        self.tally.count("open_route", right=right)
+        response = await client.call("/v1/hours", method="GET", timeout=CALL_TIMEOUT)
+        is_correct = _is_echo(response.status, response.body, b"")
+        self.statistics.record_response("open_route", is_correct=is_correct)
 
     async def _stream(self, client: CallerClient, name: str) -> None:
         body = {"prompt": name, "max_tokens": STREAM_TOKENS, "stream": True}
@@ -204,9 +210,9 @@
                 "/v1/completions", json.dumps(body).encode(), timeout=CALL_TIMEOUT
             )
         ]
-        wanted = generate_tokens(name, 0, STREAM_TOKENS)
-        self.tally.count("streamed", right=tokens == wanted)
+        expected = generate_tokens(name, 0, STREAM_TOKENS)
+        self.statistics.record_response("streamed", is_correct=tokens == expected)
 
 
-def _is_echo(status: int, answer: bytes, body: bytes) -> bool:
-    return status == 200 and answer == b"answer to " + body
+def _is_echo(status: int, response: bytes, body: bytes) -> bool:
+    return status == 200 and response == b"answer to " + body
--- a/examples/_commands.py
+++ b/examples/_commands.py
@@ -1,4 +1,4 @@
-"""Runs the product's own commands, as an operator does."""
+"""Runs the product's commands, as an operator does."""
 
 import asyncio
 import json
@@ -9,31 +9,32 @@
 COMMAND_TIMEOUT = 30.0  # seconds
 
 
-async def run_command(*words: str, flags: Sequence[str] = ()) -> dict[str, Any]:
+async def run_command(*arguments: str, flags: Sequence[str] = ()) -> dict[str, Any]:
     """Runs ``python -m buckthornstile …`` with ``--json``.
 
     Args:
-        words: The command and its arguments.
+        *arguments: The command and its arguments.
         flags: Settings, such as ``--platform_url=…``.
 
     Returns:
-        What it printed.
+        The JSON output of the command.
 
     Raises:
-        RuntimeError: Its exit status is not zero, or it took too long.
+        RuntimeError: The exit status is not zero.
+        TimeoutError: The command ran longer than ``COMMAND_TIMEOUT``.
     """
-    command = [sys.executable, "-m", "buckthornstile", *words, *flags, "--json"]
+    command = [sys.executable, "-m", "buckthornstile", *arguments, *flags, "--json"]
     process = await asyncio.create_subprocess_exec(
         *command, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE
     )
     try:
         async with asyncio.timeout(COMMAND_TIMEOUT):
-            output, complaint = await process.communicate()
+            output, error_output = await process.communicate()
     finally:
         if process.returncode is None:
             process.kill()
             await process.wait()
-    name = " ".join(words)
+    name = " ".join(arguments)
     if process.returncode != 0:
-        raise RuntimeError(f"{name}: {complaint.decode()}{output.decode()}")
+        raise RuntimeError(f"{name}: {error_output.decode()}{output.decode()}")
     return json.loads(output)
--- a/examples/_report.py
+++ b/examples/_report.py
@@ -1,4 +1,4 @@
-"""Progress for a person, and the one line of JSON at the end."""
+"""Progress lines for a person, and a final line of JSON for a program."""
 
 import json
 import time
@@ -6,11 +6,11 @@
 
 
 class Report:
-    """Collects what was measured and what is wrong.
+    """Collects measured values and the problems found in them.
 
     Example:
         >>> report = Report()
-        >>> report.check("cut_requests", 1, 0)
+        >>> report.check_equal("cut_requests", 1, 0)
         >>> report.problems
         ['cut_requests is 1, not 0']
     """
@@ -18,49 +18,49 @@
     def __init__(self) -> None:
         self.fields: dict[str, Any] = {}
         self.problems: list[str] = []
-        self.started = time.monotonic()
+        self.started_at = time.monotonic()
 
     @property
-    def seconds(self) -> float:
-        """Time since the start."""
-        return round(time.monotonic() - self.started, 1)
+    def elapsed_seconds(self) -> float:
+        """Seconds since the report was created."""
+        return round(time.monotonic() - self.started_at, 1)
 
-    def say(self, text: str) -> None:
-        """Prints a line of progress."""
-        print(f"{self.seconds:5.1f} s  {text}", flush=True)
+    def print_progress(self, text: str) -> None:
+        """Prints a progress line."""
+        print(f"{self.elapsed_seconds:5.1f} s  {text}", flush=True)
 
-    def note(self, name: str, value: object) -> None:
-        """Takes a figure that has no bound."""
+    def record(self, name: str, value: object) -> None:
+        """Records a value without a check."""
         self.fields[name] = value
 
-    def check(self, name: str, value: object, wanted: object) -> None:
-        """Takes a figure that must have one value."""
+    def check_equal(self, name: str, value: object, expected: object) -> None:
+        """Records a value that must equal the expected one."""
         self.fields[name] = value
-        if value != wanted:
-            self.fail(f"{name} is {value}, not {wanted}")
+        if value != expected:
+            self.add_problem(f"{name} is {value}, not {expected}")
 
     def check_at_most(self, name: str, value: float, limit: float) -> None:
-        """Takes a figure with an upper bound."""
+        """Records a value that must not exceed a limit."""
         self.fields[name] = value
         if not value <= limit:
-            self.fail(f"{name} is {value}, over {limit}")
+            self.add_problem(f"{name} is {value}, over {limit}")
 
     def check_positive(self, name: str, value: float) -> None:
-        """Takes a figure that must not be zero."""
+        """Records a value that must be positive."""
         self.fields[name] = value
         if not value > 0:
-            self.fail(f"{name} is {value}")
+            self.add_problem(f"{name} is {value}")
 
-    def fail(self, problem: str) -> None:
-        """Takes what is wrong."""
+    def add_problem(self, problem: str) -> None:
+        """Records a problem, with which the run fails."""
         self.problems.append(problem)
 
-    def finish(self) -> int:
-        """Prints the line of JSON, and gives the exit status."""
+    def print_summary(self) -> int:
+        """Prints the problems and the line of JSON, and returns the exit status."""
         for problem in self.problems:
-            self.say(f"WRONG: {problem}")
+            self.print_progress(f"WRONG: {problem}")
         ok = not self.problems
-        line = {"ok": ok, **self.fields, "seconds": self.seconds}
+        line = {"ok": ok, **self.fields, "seconds": self.elapsed_seconds}
         if self.problems:
             line["problems"] = self.problems
         print(json.dumps(line), flush=True)
--- a/examples/_verification.py
+++ b/examples/_verification.py
@@ -1,4 +1,4 @@
-"""Compares what callers and the trainer got with what the stand-ins saw."""
+"""Compares what callers and the trainer received with the stand-ins' journals."""
 
 import json
 from collections import Counter
@@ -15,18 +15,18 @@
 
 @dataclass(slots=True)
 class LotStatistics:
-    """What the trainer got.
+    """The samples that the trainer received.
 
     Args:
-        samples: Each sample, in the order of delivery.
-        trainer_versions: The trainer's version at each delivery.
+        samples: The samples, in the order of delivery.
+        trainer_versions: The trainer's weight version at each delivery.
     """
 
     samples: list[ReceivedSample] = field(default_factory=list)
     trainer_versions: list[int] = field(default_factory=list)
 
-    def add(self, sample: ReceivedSample, trainer_version: int) -> None:
-        """Notes a delivery."""
+    def record_sample(self, sample: ReceivedSample, trainer_version: int) -> None:
+        """Records the delivery of a sample."""
         self.samples.append(sample)
         self.trainer_versions.append(trainer_version)
 
@@ -34,8 +34,8 @@
         """Counts the deliveries of each slot."""
         return Counter(sample.slot for sample in self.samples)
 
-    def count_too_old(self, maximum_age: int) -> int:
-        """Counts samples older than the bound when they were delivered."""
+    def count_stale(self, maximum_age: int) -> int:
+        """Counts the samples that exceeded the maximum age when they were delivered."""
         pairs = zip(self.samples, self.trainer_versions, strict=True)
         return sum(
             sample.oldest_version < version - maximum_age for sample, version in pairs
@@ -47,39 +47,43 @@
     lot: LotSpecification,
     journals: Iterable[Sequence[JournalEntry]],
 ) -> int:
-    """Counts samples that no run in the engines' journals vouches for.
+    """Counts the samples whose text or labels don't match the engines' journals.
 
-    A sample is right if it is the text of its prompt and seed, and if for each event
-    some run made it under the version that its label names.
+    A sample is correct if its text is the one of its prompt and seed, and if some run
+    generated each event with the weight version that its label names.
 
     Args:
-        samples: What the trainer got.
-        lot: What it asked for.
+        samples: The samples that the trainer received.
+        lot: The lot that it requested.
         journals: The engines' journals.
     """
-    truth: dict[tuple[str, int], dict[int, set[int]]] = {}
+    versions_by_event: dict[tuple[str, int], dict[int, set[int]]] = {}
     for journal in journals:
         for entry in journal:
             if "versions" in entry:
                 body = json.loads(entry["body"])
-                events = truth.setdefault((body["prompt"], body.get("seed", 0)), {})
+                events = versions_by_event.setdefault(
+                    (body["prompt"], body.get("seed", 0)), {}
+                )
                 first = int(entry["headers"].get("Last-Event-Id", 0))
                 for number, version in enumerate(entry["versions"]):
                     events.setdefault(first + number, set()).add(version)
-    return sum(not _is_vouched_for(sample, lot, truth) for sample in samples)
+    return sum(
+        not _is_sample_correct(sample, lot, versions_by_event) for sample in samples
+    )
 
 
-def _is_vouched_for(
+def _is_sample_correct(
     sample: ReceivedSample,
     lot: LotSpecification,
-    truth: dict[tuple[str, int], dict[int, set[int]]],
+    versions_by_event: dict[tuple[str, int], dict[int, set[int]]],
 ) -> bool:
     group = lot.groups[sample.slot.group]
     seed = sample.slot.index
     tokens = generate_tokens(group.prompt, seed, group.max_tokens)
     if sample.text != "\n".join(tokens):
         return False
-    events = truth.get((group.prompt, seed), {})
+    events = versions_by_event.get((group.prompt, seed), {})
     labelled = {
         event: label.version
         for label in sample.labels
@@ -91,7 +95,7 @@
 
 
 def count_order_runs(deployment: Deployment) -> "Counter[str]":
-    """Counts how often plain services ran each order, by the order's name."""
+    """Counts the runs of each order on the plain services, by the order's name."""
     runs: Counter[str] = Counter()
     for worker in deployment.workers.values():
         for entry in worker.read_journal("run"):
@@ -100,8 +104,8 @@
     return runs
 
 
-def count_keys_seen(deployment: Deployment, keys: Iterable[str]) -> int:
-    """Counts journal entries of workers and store that hold a key in clear."""
+def count_key_leaks(deployment: Deployment, keys: Iterable[str]) -> int:
+    """Counts the journal entries of workers and store that hold a key in clear text."""
     processes = [deployment.store, *deployment.workers.values()]
     entries = [
         json.dumps(entry)
@@ -113,14 +117,17 @@
     return sum(any(key in entry for key in secrets) for entry in entries)
 
 
-def find_withdrawal(deployment: Deployment, key_name: str) -> float:
-    """Finds when the store took the record that withdrew a key.
+def find_withdrawal_time(deployment: Deployment, key_name: str) -> float:
+    """Returns when the record that withdrew a key was appended to the store.
 
     Returns:
         Seconds since the epoch.
+
+    Raises:
+        LookupError: The store holds no such record.
     """
     for entry in deployment.store.read_journal("append"):
         data = entry["data"]
         if f'"name":"{key_name}"' in data and '"withdrawn":true' in data:
             return entry["at"]
-    raise LookupError(f"the store holds no withdrawal of {key_name}")
+    raise LookupError(f"the store holds no record that withdraws key {key_name}")
--- a/examples/apply_sheet.py
+++ b/examples/apply_sheet.py
@@ -1,4 +1,4 @@
-"""An operator's morning: plan the sheet, apply it, and look that all is well.
+"""An operator plans a sheet, applies it and checks the state of the entries.
 
 Run it with ``python -m examples.apply_sheet SHEET STORE_ADDRESS URL,URL``.
 """
@@ -8,38 +8,41 @@
 import sys
 from typing import Any
 
-NOT_IN_FORCE = 5  # exit status: accepted, but not yet in force everywhere
+NOT_IN_EFFECT_STATUS = 5
+"""Exit status of a change that was accepted but is not yet in effect on all entries."""
 
 
-def run(*words: str) -> tuple[int, dict[str, Any]]:
-    """Runs a command of the product, and gives its exit status and output."""
-    command = [sys.executable, "-m", "buckthornstile", *words, "--json"]
-    ended = subprocess.run(command, capture_output=True, text=True, check=False)
-    return ended.returncode, json.loads(ended.stdout)
+def run_command(*arguments: str) -> tuple[int, dict[str, Any]]:
+    """Runs a command of the product and returns its exit status and JSON output."""
+    command = [sys.executable, "-m", "buckthornstile", *arguments, "--json"]
+    completed = subprocess.run(command, capture_output=True, text=True, check=False)
+    return completed.returncode, json.loads(completed.stdout)
 
 
-def apply_morning_sheet(sheet: str, store: str, entries: str) -> dict[str, str]:
-    """Plans a sheet, applies it and shows the entries' state.
+def apply_sheet(sheet: str, store: str, entries: str) -> dict[str, str]:
+    """Plans a sheet, applies it and prints the state of the entries.
 
     Returns:
-        The new keys in clear, which no later command shows again.
+        The new keys in clear text, by name; no later command shows them again.
 
     Raises:
         RuntimeError: The sheet was refused.
     """
     flags = [f"--store_address={store}", f"--entries={entries}"]
-    status, plan = run("config", "plan", sheet, flags[0])
+    status, plan = run_command("config", "plan", sheet, flags[0])
     if status:
         raise RuntimeError(plan["message"])
     added = len(plan["added"]) + len(plan["new_keys"])
     print(f"{added} to add, {len(plan['changed'])} to change")
-    status, applied = run("config", "apply", sheet, *flags, "--operator=planner")
-    if status not in (0, NOT_IN_FORCE):
+    status, applied = run_command(
+        "config", "apply", sheet, *flags, "--operator=planner"
+    )
+    if status not in (0, NOT_IN_EFFECT_STATUS):
         raise RuntimeError(applied["message"])
     behind = applied["in_force"]["behind"]
-    print(f"revision {applied['revision']}, not yet in force on {behind or 'none'}")
-    _, answer = run("status", flags[1])
-    for url, state in answer["entries"].items():
+    print(f"revision {applied['revision']}, not yet in effect on {behind or 'none'}")
+    _, response = run_command("status", flags[1])
+    for url, state in response["entries"].items():
         upstreams = len(state["upstreams"])
         revision = state["configuration"]["revision"]
         print(f"{url} has revision {revision} and knows {upstreams} upstreams")
@@ -47,5 +50,5 @@
 
 
 if __name__ == "__main__":
-    for name, clear in apply_morning_sheet(*sys.argv[1:4]).items():
-        print(f"give to the holder of {name}: {clear}")
+    for name, api_key in apply_sheet(*sys.argv[1:4]).items():
+        print(f"new key {name}, to hand to its holder: {api_key}")
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,9 +1,9 @@
-"""Runs a whole small deployment, checks what it promises, and says so.
+"""Runs a small deployment, checks its guarantees and prints a report.
 
-Run it with ``make demo``. It starts the stand-ins of the store and of four
-workers and two entries in two failure domains, drives them as operators, callers and
-a trainer do, and ends with one line of JSON; each field is measured from what these
-and the stand-ins saw. The exit status is zero only if all is well.
+Run it with ``make demo``. It starts stand-ins of the store and of four workers, and two
+entries, in two failure domains. It uses them as operators, callers and a trainer do and
+ends with one line of JSON, whose fields are computed from what these received and from
+the stand-ins' journals. The exit status is zero only if there are no problems.
 """
 
 import asyncio
@@ -27,54 +27,56 @@
 from examples._report import Report
 from examples._verification import (
     LotStatistics,
-    count_keys_seen,
+    count_key_leaks,
     count_label_errors,
     count_order_runs,
-    find_withdrawal,
+    find_withdrawal_time,
 )
 from standins.deployment import Deployment
 from standins.process import ManagedProcess
 
 SHEET = Path(__file__).with_name("sheet.csv")
-DOMAINS = ("bench-a", "bench-b")
-GROUPS, GROUP_SAMPLES = 8, 8
+FAILURE_DOMAINS = ("bench-a", "bench-b")
+GROUP_COUNT, SAMPLES_PER_GROUP = 8, 8
 SAMPLE_TOKENS = 120
-MAXIMUM_AGE = 0
-SWAP_AFTER_SAMPLES = 16
+MAXIMUM_AGE = 0  # versions
+UPDATE_AFTER_SAMPLES = 16
 OLD_VERSION, NEW_VERSION = 1, 2
-TOKEN_SECONDS = 0.005
-CALLER_PAUSE = 0.02  # seconds
-PROBE_PAUSE = 0.02  # seconds
-PROBES_AFTER = 10
-SWAP_POLL = 0.1  # seconds
+TOKEN_SECONDS = 0.005  # seconds that an engine takes for a token
+CALLER_INTERVAL = 0.02  # seconds
+PROBE_INTERVAL = 0.02  # seconds
+REQUIRED_REFUSALS = 10
+UPDATE_POLL_INTERVAL = 0.1  # seconds
 LOT_TIMEOUT = 40.0  # seconds
 STEP_TIMEOUT = 20.0  # seconds
-STOP_GRACE = 8.0  # seconds
+STOP_GRACE_SECONDS = 8.0  # seconds
 WITHDRAWN_KEY = "mill-7-counter"
-KEY_LIMIT = 5.0  # seconds
+KEY_WITHDRAWAL_LIMIT = 5.0  # seconds
 
 
 class Demo:
     """One run of the demo.
 
     Args:
-        deployment: The processes, not yet started but for the platform.
-        report: Takes progress and results.
+        deployment: The deployment, of which only the store is started.
+        report: The report that receives progress and results.
     """
 
     def __init__(self, deployment: Deployment, report: Report) -> None:
         self.deployment = deployment
         self.report = report
-        self.tally = CallStatistics()
+        self.statistics = CallStatistics()
         self.keys: dict[str, str] = {}
         self.withdrawn_key = ""
 
     async def run(self) -> None:
-        """Runs all steps but the start."""
+        """Runs all steps after the processes have started."""
         await self.apply_sheet()
         balancer = ReadinessBalancer(self.deployment.entry_urls)
         balancing = asyncio.create_task(balancer.run())
-        callers = CallerPool(balancer, self.keys, self.tally, pause=CALLER_PAUSE)
+        callers = CallerPool(
+            balancer, self.keys, self.statistics, interval=CALLER_INTERVAL
+        )
         callers.start()
         try:
             await self.run_lot()
@@ -82,7 +84,7 @@
             await self.stop_entry()
             await callers.stop()
         except BaseException:
-            # Blocking calls to stand-ins end with them.
+            # Requests to the stand-ins block; they fail when the stand-ins are killed.
             kill_processes(self.deployment)
             raise
         finally:
@@ -97,19 +99,19 @@
         """Starts workers and entries in two failure domains."""
         deployment = self.deployment
         engine = {"event_seconds": TOKEN_SECONDS, "version": OLD_VERSION}
-        for number, domain in enumerate(DOMAINS, 1):
+        for number, domain in enumerate(FAILURE_DOMAINS, 1):
             deployment.add_engine(
                 f"model-{number}", domain, "geometry-models", **engine
             )
             deployment.add_worker(f"desk-{number}", domain, "shop-desk")
             deployment.add_entry(f"entry-{number}", domain)
-        self.report.say(
+        self.report.print_progress(
             f"{len(deployment.entries)} entries and {len(deployment.workers) + 1} "
-            f"stand-ins run in {len(DOMAINS)} failure domains"
+            f"stand-ins run in {len(FAILURE_DOMAINS)} failure domains"
         )
 
     async def apply_sheet(self) -> None:
-        """Applies the sheet, and makes one more key, to be withdrawn."""
+        """Applies the sheet and adds a key, which is withdrawn later."""
         applied = await self._command("config", "apply", str(SHEET))
         keys = applied["keys"]
         self.keys = {
@@ -119,18 +121,20 @@
         added = await self._command("keys", "add", "mill-7", f"--name={WITHDRAWN_KEY}")
         self.withdrawn_key = added["keys"][WITHDRAWN_KEY]
         behind = [*applied["in_force"]["behind"], *added["in_force"]["behind"]]
-        self.report.check("processes_behind", len(behind), 0)
-        self.report.say(f"{SHEET.name} is in force as revision {applied['revision']}")
+        self.report.check_equal("processes_behind", len(behind), 0)
+        self.report.print_progress(
+            f"{SHEET.name} is in effect as revision {applied['revision']}"
+        )
 
     async def run_lot(self) -> None:
-        """Runs a lot whose trainer names new weights in the middle of it."""
-        group = {"samples": GROUP_SAMPLES, "max_tokens": SAMPLE_TOKENS}
+        """Runs a lot during which the trainer names a new weight version."""
+        group = {"samples": SAMPLES_PER_GROUP, "max_tokens": SAMPLE_TOKENS}
         lot = LotSpecification(
             lot="step-1",
             trainer="geometry",
             groups=tuple(
                 GroupSpecification(prompt=f"set tooth pitch {number}", **group)
-                for number in range(GROUPS)
+                for number in range(GROUP_COUNT)
             ),
             version=OLD_VERSION,
             maximum_age=MAXIMUM_AGE,
@@ -139,48 +143,52 @@
         trainer = TrainerClient(
             self.deployment.entry_urls, self.keys["tooth-geometry"], "geometry"
         )
-        tally = LotStatistics()
+        statistics = LotStatistics()
         version = OLD_VERSION
-        swap: asyncio.Task[None] | None = None
+        update: asyncio.Task[None] | None = None
         async with contextlib.aclosing(trainer.run_lot(lot)) as samples:
             async for sample in samples:
-                tally.add(sample, version)
-                if swap is None and len(tally.samples) >= SWAP_AFTER_SAMPLES:
+                statistics.record_sample(sample, version)
+                if update is None and len(statistics.samples) >= UPDATE_AFTER_SAMPLES:
                     version = NEW_VERSION
                     await trainer.set_version(version)
-                    self.report.say(f"the trainer is at version {version}")
-                    swap = asyncio.create_task(self.watch_swap())
-        if swap is not None:
-            await swap
+                    self.report.print_progress(f"the trainer is at version {version}")
+                    update = asyncio.create_task(self.wait_for_weight_update())
+        if update is not None:
+            await update
         await trainer.close()
-        self.report.note("trainer_idle_s", round(trainer.idle_seconds, 3))
-        self._check_lot(lot, tally, trainer)
+        self.report.record("trainer_idle_s", round(trainer.idle_seconds, 3))
+        self._check_lot(lot, statistics, trainer)
 
     def _check_lot(
-        self, lot: LotSpecification, tally: LotStatistics, trainer: TrainerClient
+        self, lot: LotSpecification, statistics: LotStatistics, trainer: TrainerClient
     ) -> None:
         report = self.report
-        deliveries = tally.count_slots()
+        deliveries = statistics.count_slots()
         repeated = sum(deliveries.values()) - len(deliveries)
         journals = [e.read_journal("run") for e in self._list_engines()]
-        report.note("samples_wanted", lot.slot_count)
-        report.check("samples_delivered", len(deliveries), lot.slot_count)
-        report.check("samples_doubled", repeated + trainer.duplicate_count, 0)
-        errors = count_label_errors(tally.samples, lot, journals)
-        report.check("label_errors", errors, 0)
-        report.check("samples_too_old", tally.count_too_old(MAXIMUM_AGE), 0)
-        versions = sorted({s.newest_version for s in tally.samples})
-        report.check("sample_versions", versions, [OLD_VERSION, NEW_VERSION])
-        report.say(f"{len(deliveries)} samples of versions {versions} came")
-
-    async def watch_swap(self) -> None:
-        """Waits until every engine has loaded the version that was named."""
+        report.record("samples_wanted", lot.slot_count)
+        report.check_equal("samples_delivered", len(deliveries), lot.slot_count)
+        report.check_equal("samples_doubled", repeated + trainer.duplicate_count, 0)
+        errors = count_label_errors(statistics.samples, lot, journals)
+        report.check_equal("label_errors", errors, 0)
+        report.check_equal("samples_too_old", statistics.count_stale(MAXIMUM_AGE), 0)
+        versions = sorted({s.newest_version for s in statistics.samples})
+        report.check_equal("sample_versions", versions, [OLD_VERSION, NEW_VERSION])
+        report.print_progress(
+            f"{len(deliveries)} samples of versions {versions} arrived"
+        )
+
+    async def wait_for_weight_update(self) -> None:
+        """Waits until every engine has loaded the version that the trainer named."""
         started = time.monotonic()
         async with asyncio.timeout(STEP_TIMEOUT):
             while await asyncio.to_thread(self._count_old_engines):
-                await asyncio.sleep(SWAP_POLL)
-        self.report.note("swap_s", round(time.monotonic() - started, 3))
-        self.report.say("every engine has loaded it, as the lease's holder ordered")
+                await asyncio.sleep(UPDATE_POLL_INTERVAL)
+        self.report.record("swap_s", round(time.monotonic() - started, 3))
+        self.report.print_progress(
+            "every engine has loaded it, as the lease holder ordered"
+        )
 
     def _count_old_engines(self) -> int:
         reports = [engine.call("GET", "/-/report") for engine in self._list_engines()]
@@ -195,91 +203,102 @@
         return [p for name, p in workers.items() if name.startswith("model-")]
 
     async def withdraw_key(self) -> None:
-        """Withdraws a key, and measures when the last entry refuses it."""
+        """Withdraws a key and measures the time until every entry refuses it."""
         probes = [
-            asyncio.create_task(probe_key(url, self.withdrawn_key))
+            asyncio.create_task(wait_until_key_refused(url, self.withdrawn_key))
             for url in self.deployment.entry_urls
         ]
         await asyncio.sleep(0.5)
         result = await self._command("keys", "withdraw", WITHDRAWN_KEY)
         refused_at = await asyncio.gather(*probes)
         withdrawn_at = await asyncio.to_thread(
-            find_withdrawal, self.deployment, WITHDRAWN_KEY
+            find_withdrawal_time, self.deployment, WITHDRAWN_KEY
         )
         seconds = round(max(refused_at) - withdrawn_at, 3)
-        self.report.check_at_most("key_refused_after_s", seconds, KEY_LIMIT)
+        self.report.check_at_most("key_refused_after_s", seconds, KEY_WITHDRAWAL_LIMIT)
         behind = len(result["in_force"]["behind"])
-        self.report.check("processes_behind_withdrawal", behind, 0)
-        self.report.say(f"the withdrawn key was refused everywhere after {seconds} s")
+        self.report.check_equal("processes_behind_withdrawal", behind, 0)
+        self.report.print_progress(
+            f"the withdrawn key was refused everywhere after {seconds} s"
+        )
 
     async def stop_entry(self) -> None:
-        """Stops an entry that has calls open, as in a planned replacement."""
+        """Stops an entry with open calls, as in a planned replacement."""
         name = next(iter(self.deployment.entries))
         entry = self.deployment.entries[name]
         status: dict[str, Any] = {"open_calls": 0}
         async with asyncio.timeout(STEP_TIMEOUT):
             while status["open_calls"] < 2:
                 status = await asyncio.to_thread(entry.call, "GET", "/v1/status")
-        self.report.say(
+        self.report.print_progress(
             f"{name} is asked to stop with {status['open_calls']} calls open"
         )
-        self.report.note("open_calls_at_stop", status["open_calls"])
+        self.report.record("open_calls_at_stop", status["open_calls"])
         started = time.monotonic()
         exit_status = await asyncio.to_thread(entry.stop, timeout=STEP_TIMEOUT)
-        self.report.note("stop_s", round(time.monotonic() - started, 3))
-        self.report.check("stop_exit_status", exit_status, 0)
+        self.report.record("stop_s", round(time.monotonic() - started, 3))
+        self.report.check_equal("stop_exit_status", exit_status, 0)
 
     # Checks
 
     def check_calls(self) -> None:
-        """Compares what the callers saw with the stand-ins' journals."""
-        report, tally = self.report, self.tally
-        report.note("calls", tally.total)
+        """Compares the callers' statistics with the stand-ins' journals."""
+        report, statistics = self.report, self.statistics
+        report.record("calls", statistics.total)
         for kind in ("idempotent", "non_idempotent", "streamed", "open_route"):
-            report.check_positive(f"{kind}_calls", tally.whole[kind])
-        report.check("calls_refused", tally.refused.total(), 0)
-        report.check("cut_requests", tally.cut.total(), 0)
-        report.check("short_answers", tally.short, 0)
+            report.check_positive(f"{kind}_calls", statistics.completed[kind])
+        report.check_equal("calls_refused", statistics.refused.total(), 0)
+        report.check_equal("cut_requests", statistics.interrupted.total(), 0)
+        report.check_equal("short_answers", statistics.wrong, 0)
         runs = count_order_runs(self.deployment)
-        twice = sum(count > 1 for count in runs.values())
-        report.check("orders_run_twice", twice, 0)
-        report.check_positive("orders_repeated", tally.repeated_orders)
-        untrue = tally.untrue_refusals + len(tally.refused_names & set(runs))
-        report.check("untrue_refusals", untrue, 0)
-        lost = len(tally.answered_orders - set(runs))
-        report.check("orders_answered_but_not_run", lost, 0)
+        duplicate_runs = sum(count > 1 for count in runs.values())
+        report.check_equal("orders_run_twice", duplicate_runs, 0)
+        report.check_positive("orders_repeated", statistics.repeated_orders)
+        false_refusals = statistics.false_refusals + len(
+            statistics.refused_names & set(runs)
+        )
+        report.check_equal("false_refusals", false_refusals, 0)
+        lost = len(statistics.answered_orders - set(runs))
+        report.check_equal("orders_answered_but_not_run", lost, 0)
         keys = [*self.keys.values(), self.withdrawn_key]
-        seen = count_keys_seen(self.deployment, keys)
-        report.check("keys_seen_upstream", seen, 0)
-        for code, count in (tally.refused + tally.cut).items():
-            report.say(f"{count} calls ended with {code}")
-        report.say(f"{tally.total} calls were made, {tally.cut.total()} were cut")
+        leaks = count_key_leaks(self.deployment, keys)
+        report.check_equal("keys_seen_upstream", leaks, 0)
+        for code, count in (statistics.refused + statistics.interrupted).items():
+            report.print_progress(f"{count} calls failed with {code}")
+        report.print_progress(
+            f"{statistics.total} calls were sent, "
+            f"{statistics.interrupted.total()} were interrupted"
+        )
 
     def stop_entries(self) -> None:
-        """Stops the entries while the store still stands."""
+        """Stops the entries while the store is still running."""
         statuses = self.deployment.stop_entries()
-        self.report.check("bad_exits", sum(status != 0 for status in statuses), 0)
+        self.report.check_equal("bad_exits", sum(status != 0 for status in statuses), 0)
 
-    async def _command(self, *words: str) -> dict[str, Any]:
+    async def _command(self, *arguments: str) -> dict[str, Any]:
         flags = [
             f"--store_address={self.deployment.store.url.removeprefix('http://')}",
             f"--entries={','.join(self.deployment.entry_urls)}",
             "--operator=demo",
         ]
-        return await run_command(*words, flags=flags)
+        return await run_command(*arguments, flags=flags)
 
 
-async def probe_key(url: str, key: str) -> float:
-    """Calls an entry with a key until it has been refused many times in a row.
+async def wait_until_key_refused(url: str, key: str) -> float:
+    """Calls an entry with a key until it refuses the key several times in a row.
+
+    Args:
+        url: URL of the entry.
+        key: The key in clear text.
 
     Returns:
-        When the first of these refusals came, in seconds since the epoch.
+        The time of the first of these refusals, in seconds since the epoch.
     """
     client = CallerClient([url], key, policy=RetryPolicy(maximum_attempts=1))
     refused_at = 0.0
     refusals = 0
     async with asyncio.timeout(STEP_TIMEOUT):
-        while refusals < PROBES_AFTER:
+        while refusals < REQUIRED_REFUSALS:
             try:
                 await client.call("/v1/orders/lookup", b"{}")
             except BuckthornstileError as error:
@@ -289,23 +308,23 @@
                 refusals += 1
             else:
                 refusals = 0
-            await asyncio.sleep(PROBE_PAUSE)
+            await asyncio.sleep(PROBE_INTERVAL)
     return refused_at
 
 
 def run_demo(report: Report) -> None:
-    """Runs the demo; every process has ended when this returns.
+    """Runs the demo, whose processes have all ended on return.
 
     Args:
-        report: Takes progress and results.
+        report: The report that receives progress and results.
     """
-    with Deployment(entry_settings={"stop_grace": STOP_GRACE}) as deployment:
+    with Deployment(entry_settings={"stop_grace": STOP_GRACE_SECONDS}) as deployment:
         try:
             demo = Demo(deployment, report)
             demo.start_processes()
             asyncio.run(demo.run())
         except BaseException:
-            # What is broken off has nothing to finish, and may hang.
+            # An interrupted demo does not need graceful stops, which may hang.
             kill_processes(deployment)
             raise
         finally:
@@ -313,7 +332,7 @@
 
 
 def kill_processes(deployment: Deployment) -> None:
-    """Kills whatever still runs."""
+    """Kills all processes that are still running."""
     for process in deployment.process_manager.processes:
         if process.is_running:
             process.kill()
@@ -326,16 +345,16 @@
         The exit status.
     """
     report = Report()
-    # A shell that starts the demo in the background has it ignore SIGINT.
+    # A shell that starts the demo in the background makes it ignore SIGINT.
     signal.signal(signal.SIGINT, signal.default_int_handler)
     signal.signal(signal.SIGTERM, lambda *_: signal.raise_signal(signal.SIGINT))
     try:
         run_demo(report)
     except KeyboardInterrupt:
-        report.fail("interrupted")
-    except Exception as error:  # noqa: BLE001 - the last line tells of any failure
-        report.fail(f"{type(error).__name__}: {error}")
-    return report.finish()
+        report.add_problem("interrupted")
+    except Exception as error:  # noqa: BLE001 - the last line reports any failure
+        report.add_problem(f"{type(error).__name__}: {error}")
+    return report.print_summary()
 
 
 if __name__ == "__main__":
--- a/examples/tests/test_demo.py
+++ b/examples/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo runs from any directory, sees what is wrong, and cleans up."""
+"""The demo runs from any directory, detects problems and leaves no processes."""
 
 import contextlib
 import json
@@ -22,8 +22,8 @@
 from standins.worker import generate_tokens
 
 ROOT = Path(__file__).parents[2]
-GIVE_UP = 150.0  # seconds
-USUAL_PORTS = (7400, 7401, 8080)
+DEMO_TIMEOUT = 150.0  # seconds
+DEFAULT_PORTS = (7400, 7401, 8080)
 
 
 def start_demo():
@@ -42,23 +42,23 @@
 
 
 @pytest.fixture
-def taken_ports():
+def occupied_ports():
     with contextlib.ExitStack() as stack:
-        for port in USUAL_PORTS:
-            # A port that another process holds is taken just as well.
+        for port in DEFAULT_PORTS:
+            # A port that another process holds is occupied as well.
             with contextlib.suppress(OSError):
                 stack.enter_context(socket.create_server(("0.0.0.0", port)))
         yield
 
 
-def test_demo_ends_with_a_good_line(taken_ports):
+def test_demo_finds_no_problems_when_default_ports_are_occupied(occupied_ports):
     demo = start_demo()
-    output, _ = demo.communicate(timeout=GIVE_UP)
+    output, _ = demo.communicate(timeout=DEMO_TIMEOUT)
     line = json.loads(output.splitlines()[-1])
     assert demo.returncode == 0, output.decode()
     assert line["ok"]
     assert line["samples_wanted"] == line["samples_delivered"] == 64
-    none = (
+    zero_fields = (
         "cut_requests",
         "keys_seen_upstream",
         "label_errors",
@@ -66,18 +66,18 @@
         "samples_doubled",
         "short_answers",
     )
-    assert {name: line[name] for name in none} == dict.fromkeys(none, 0)
+    assert {name: line[name] for name in zero_fields} == dict.fromkeys(zero_fields, 0)
     assert line["calls"] > 100
     assert_no_process_left(demo)
 
 
-@pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_interrupted_demo_leaves_no_process(number):
+@pytest.mark.parametrize("signal_number", [signal.SIGINT, signal.SIGTERM])
+def test_interrupted_demo_leaves_no_process(signal_number):
     demo = start_demo()
     assert demo.stdout is not None
-    demo.stdout.readline()  # All processes run by then.
-    demo.send_signal(number)
-    output, _ = demo.communicate(timeout=GIVE_UP)
+    demo.stdout.readline()  # The first line is printed when all processes run.
+    demo.send_signal(signal_number)
+    output, _ = demo.communicate(timeout=DEMO_TIMEOUT)
     assert json.loads(output.splitlines()[-1])["problems"] == ["interrupted"]
     assert demo.returncode != 0
     assert_no_process_left(demo)
@@ -109,7 +109,7 @@
 )
 def test_label_errors_are_counted(text, labels, errors):
     body = json.dumps({"prompt": "p", "max_tokens": 4, "seed": 0})
-    # The second run went on after the second event of the first.
+    # The second run continues after the second event of the first.
     runs = [
         {"body": body, "headers": {}, "versions": [1, 1]},
         {"body": body, "headers": {"Last-Event-Id": "2"}, "versions": [2, 2]},
@@ -119,9 +119,9 @@
     assert count_label_errors([make_sample(tokens, *labels)], LOT, journals) == errors
 
 
-def test_old_and_doubled_samples_are_counted():
-    tally = LotStatistics()
-    tally.add(make_sample("x", (0, 1, 1), (2, 3, 2)), trainer_version=2)
-    tally.add(make_sample("x", (0, 3, 2)), trainer_version=2)
-    assert tally.count_slots() == {Slot(0, 0): 2}
-    assert [tally.count_too_old(age) for age in (0, 1)] == [1, 0]
+def test_stale_and_duplicate_samples_are_counted():
+    statistics = LotStatistics()
+    statistics.record_sample(make_sample("x", (0, 1, 1), (2, 3, 2)), trainer_version=2)
+    statistics.record_sample(make_sample("x", (0, 3, 2)), trainer_version=2)
+    assert statistics.count_slots() == {Slot(0, 0): 2}
+    assert [statistics.count_stale(age) for age in (0, 1)] == [1, 0]
--- a/examples/tests/test_documents.py
+++ b/examples/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""The documents name what exists."""
+"""The documents name only commands, make targets, files and errors that exist."""
 
 import re
 import shlex
@@ -17,31 +17,31 @@
     for path in [*ROOT.glob("*.md"), *ROOT.glob("docs/**/*.md")]
     if path.name != "SETTINGS.md"
 ]
-COMMAND = re.compile(r"python -m buckthornstile ([^`\n]+)")
-TARGET = re.compile(r"(?:^|`)make (?:[A-Z]+=\S+ )*([a-z-]+)", re.MULTILINE)
-LINK = re.compile(r"\]\(([^)#:]+)\)")
+COMMAND_PATTERN = re.compile(r"python -m buckthornstile ([^`\n]+)")
+TARGET_PATTERN = re.compile(r"(?:^|`)make (?:[A-Z]+=\S+ )*([a-z-]+)", re.MULTILINE)
+LINK_PATTERN = re.compile(r"\]\(([^)#:]+)\)")
 VERDICTS = {"not_run", "may_have_run", "either"}
 
 
 @pytest.mark.parametrize("path", DOCUMENTS, ids=lambda path: path.name)
-def test_commands_targets_and_links_exist(path):
+def test_documented_commands_targets_and_links_exist(path):
     text = path.read_text()
-    for command in COMMAND.findall(text):
+    for command in COMMAND_PATTERN.findall(text):
         words = shlex.split(command, comments=True)
         name = find_command(words)
         assert name in COMMANDS or words[0] in ("--help", "config", "keys"), command
     makefile = (ROOT / "Makefile").read_text()
-    for target in TARGET.findall(text):
+    for target in TARGET_PATTERN.findall(text):
         assert re.search(rf"^{target}:", makefile, re.MULTILINE), target
-    for link in LINK.findall(text):
+    for link in LINK_PATTERN.findall(text):
         assert (path.parent / link).exists(), link
 
 
-def test_every_error_code_is_described():
+def test_every_error_code_is_documented():
     text = (ROOT / "docs" / "API.md").read_text()
     rows = re.findall(r"^\| `([a-z_.]+)` \| (\d+) \| (\w+) \| .+ \|$", text, re.M)
-    described = {code: int(status) for code, status, _ in rows}
-    assert described == {code.value: get_http_status(code) for code in ErrorCode}
+    documented = {code: int(status) for code, status, _ in rows}
+    assert documented == {code.value: get_http_status(code) for code in ErrorCode}
     assert {verdict for _, _, verdict in rows} <= VERDICTS
 
 
--- a/examples/tests/test_examples.py
+++ b/examples/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Every example runs against a deployment of separate processes."""
+"""The examples run against a deployment of separate processes."""
 
 import asyncio
 
@@ -22,31 +22,31 @@
 def keys(deployment):
     urls = ",".join(deployment.entry_urls)
     sheet = str(demo.SHEET)
-    return apply_sheet.apply_morning_sheet(
+    return apply_sheet.apply_sheet(
         sheet, deployment.store.url.removeprefix("http://"), urls
     )
 
 
-def test_a_sheet_is_applied_once(deployment, keys):
+def test_sheet_that_is_applied_twice_changes_nothing(deployment, keys):
     assert set(keys) == {"mill-7-clerks", "geometry-trainers"}
     urls = ",".join(deployment.entry_urls)
     sheet = str(demo.SHEET)
-    again = apply_sheet.apply_morning_sheet(
+    second_keys = apply_sheet.apply_sheet(
         sheet, deployment.store.url.removeprefix("http://"), urls
     )
-    assert again == {}
+    assert second_keys == {}
     assert deployment.read_status("entry-1")["configuration"]["revision"] == 1
 
 
-def test_a_caller_gets_its_answers(deployment, keys):
+def test_caller_gets_correct_responses(deployment, keys):
     client = CallerClient(deployment.entry_urls, keys["mill-7-clerks"])
 
     async def run():
         return [
             await caller.place_order(client, "blade-7"),
             await caller.place_order(client, "blade-7"),
-            await caller.look_up(client, "blade-7"),
-            await caller.complete(client, "how to set a ripping blade"),
+            await caller.look_up_order(client, "blade-7"),
+            await caller.stream_completion(client, "how to set a ripping blade"),
         ]
 
     first, second, found, text = asyncio.run(run())
@@ -57,24 +57,28 @@
     assert [entry["path"] for entry in runs].count("/v1/orders") == 1
 
 
-def test_a_caller_is_told_that_an_order_was_not_placed(deployment, keys):
+def test_caller_with_unknown_key_learns_that_order_was_not_placed(deployment, keys):
     client = CallerClient(deployment.entry_urls, "wrong")
-    said = asyncio.run(caller.place_order(client, "blade-8"))
-    assert said == "order blade-8 was not placed (key.unknown); send it again"
+    message = asyncio.run(caller.place_order(client, "blade-8"))
+    assert message == "order blade-8 was not placed (key.unknown); send it again"
 
 
-def test_a_trainer_gets_every_lot(deployment, keys):
+def test_trainer_gets_all_samples_of_each_lot(deployment, keys):
     key = keys["geometry-trainers"]
     trainer = TrainerClient(deployment.entry_urls, key, "geometry")
     counts = asyncio.run(trainer_loop.run_steps(trainer, version=1))
     assert counts == [8, 8, 8]
 
 
-def test_an_operator_sees_what_concerns_a_subject(deployment, keys):
+def test_explain_shows_only_events_of_its_subject(deployment, keys):
     url = deployment.entry_urls[0]
-    status, answer = apply_sheet.run("explain", "configuration", f"--entries={url}")
+    status, response = apply_sheet.run_command(
+        "explain", "configuration", f"--entries={url}"
+    )
     assert status == 0
-    assert {event["event"] for event in answer["events"]} == {"configuration.in_force"}
-    assert answer["errors"] == {}
-    _, whole = apply_sheet.run("explain", f"--entries={url}")
-    assert len(whole["events"]) > len(answer["events"])
+    assert {event["event"] for event in response["events"]} == {
+        "configuration.in_force"
+    }
+    assert response["errors"] == {}
+    _, complete = apply_sheet.run_command("explain", f"--entries={url}")
+    assert len(complete["events"]) > len(response["events"])
--- a/examples/trainer_loop.py
+++ b/examples/trainer_loop.py
@@ -1,4 +1,4 @@
-"""A trainer: a lot a step, and a new weight version after each.
+"""A trainer that runs one lot per step and creates a weight version after each.
 
 Run it with ``python -m examples.trainer_loop URL,URL KEY``.
 """
@@ -13,20 +13,20 @@
     TrainerClient,
 )
 
-STEPS = 3
-GROUPS = 2
-GROUP_SAMPLES = 4
+STEP_COUNT = 3
+GROUP_COUNT = 2
+SAMPLES_PER_GROUP = 4
 
 
-def make_lot(step: int, version: int) -> LotSpecification:
-    """Makes a step's lot: groups of samples that share a prompt."""
+def make_step_lot(step: int, version: int) -> LotSpecification:
+    """Creates the lot of a step: groups of samples that share a prompt."""
     groups = tuple(
         GroupSpecification(
             prompt=f"set tooth pitch {step}.{number}",
-            samples=GROUP_SAMPLES,
+            samples=SAMPLES_PER_GROUP,
             max_tokens=16,
         )
-        for number in range(GROUPS)
+        for number in range(GROUP_COUNT)
     )
     return LotSpecification(
         lot=f"step-{step}",
@@ -39,21 +39,21 @@
 
 
 def train(samples: list[ReceivedSample], version: int) -> int:
-    """Stands for the training step; gives the version that it makes."""
-    # Labels tell which weights truly made which tokens.
+    """Takes the place of a training step and returns the new weight version."""
+    # The labels name the weight version that generated each token.
     assert all(sample.oldest_version >= version - 1 for sample in samples)
     return version + 1
 
 
 async def run_steps(trainer: TrainerClient, version: int) -> list[int]:
-    """Runs the steps, and gives how many samples each had."""
+    """Runs the steps and returns the number of samples of each."""
     counts = []
-    for step in range(1, STEPS + 1):
-        lot = make_lot(step, version)
+    for step in range(1, STEP_COUNT + 1):
+        lot = make_step_lot(step, version)
         samples = [sample async for sample in trainer.run_lot(lot)]
         counts.append(len(samples))
         version = train(samples, version)
-        # The entries have engines load the version that the trainer names.
+        # The entries make the engines load the version that the trainer names.
         await trainer.set_version(version)
         print(f"step {step}: {counts[-1]} samples, trainer at version {version}")
     await trainer.close()
@@ -61,7 +61,7 @@
 
 
 async def main(entries: str, key: str) -> None:
-    """Runs a trainer whose weights are at version 1."""
+    """Runs a trainer that starts with weight version 1."""
     trainer = TrainerClient(entries.split(","), key, "geometry")
     await run_steps(trainer, version=1)
     print(f"waited {trainer.idle_seconds:.1f} s for samples")
