--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -19,7 +19,7 @@
 
 import matplotlib
 
-from soak import DESK_FLAGS, ENGINE_FLAGS, FaultPlan, FaultStep, run_plan
+from soak import ENGINE_FLAGS, SERVICE_WORKER_FLAGS, FaultPlan, FaultStep, run_plan
 from tests.harness import DeploymentHarness
 from tests.invariants import CallRecord
 
@@ -61,15 +61,17 @@
     """Returns the counts and latencies of each kind of call.
 
     Example:
-        >>> call = CallRecord("mill", "lookup", "l", b"", 200, began=1.0, ended=1.1)
+        >>> call = CallRecord(
+        ...     "mill", "lookup", "l", b"", 200, started_at=1.0, finished_at=1.1
+        ... )
         >>> measure_calls([call])["lookup"]["served"]
         1
     """
     rows: dict[str, dict[str, float]] = {}
     for kind, objective in LATENCY_OBJECTIVES.items():
-        finished = [call for call in calls if call.kind == kind and call.ended]
+        finished = [call for call in calls if call.kind == kind and call.finished_at]
         served = [call for call in finished if call.status == 200]
-        latencies = sorted(call.ended - call.began for call in served)
+        latencies = sorted(call.finished_at - call.started_at for call in served)
         late = sum(latency > objective for latency in latencies)
         refused = sum(call.verdict == "not_run" for call in finished)
         rows[kind] = {
@@ -93,11 +95,11 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    began = min(call.began for call in calls)
+    began = min(call.started_at for call in calls)
     figure, axes = pyplot.subplots(figsize=(9, 4))
     for kind in LATENCY_OBJECTIVES:
         counts = Counter(
-            int(call.ended - began)
+            int(call.finished_at - began)
             for call in calls
             if call.kind == kind and call.status == 200
         )
@@ -122,14 +124,14 @@
         services=plan.desks,
         entries=0,
         engine_flags=ENGINE_FLAGS,
-        service_flags=DESK_FLAGS,
+        service_flags=SERVICE_WORKER_FLAGS,
     )
     started = time.monotonic()
     with harness:
         problems, _ = run_plan(harness, plan, seconds=scenario.duration)
         store_journal = harness.store.request_json("GET", "/control/journal")
     observations = harness.observations
-    loads = len(observations.list_entries("order"))
+    loads = len(observations.list_journal_entries("order"))
     plot_calls(observations.calls, scenario, RESULTS_DIRECTORY / "experiment.png")
     return {
         "calls": measure_calls(observations.calls),
