--- a/buckthornstile/gateway/__init__.py
+++ b/buckthornstile/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The core of an entry: calls, streams, batch jobs, duties and their dependencies."""
+"""The core of an entry: calls, streams, batch jobs and tasks of the lease holder."""
 
 from buckthornstile.gateway._call_sender import CallSender
 from buckthornstile.gateway._handlers import (
--- a/buckthornstile/gateway/_call_sender.py
+++ b/buckthornstile/gateway/_call_sender.py
@@ -25,7 +25,8 @@
 """Fraction of the target latency after which an idempotent request is also sent to a
 second upstream."""
 MAX_REFUSALS = 4
-"""Number of refusals by upstreams after which a request fails."""
+"""Number of attempts that did not run the request, after which no further one is
+started."""
 REFUSAL_PAUSE = 0.05
 """Seconds for which an upstream that had no free slot is avoided."""
 RETRY_AFTER_SECONDS = 0.1
@@ -95,7 +96,7 @@
 
 
 def is_stale_configuration_error(error: BaseException | None) -> bool:
-    """Whether a request was held back because the configuration here is too old."""
+    """Whether a request was not sent because the known configuration is too old."""
     return (
         isinstance(error, BuckthornstileError)
         and error.code is ErrorCode.CONFIGURATION_OLD
@@ -108,8 +109,9 @@
     Attributes:
         tried: Upstreams that the request was sent to.
         running: Attempts that have not ended, by their tasks.
-        run_count: Number of attempts, except those that did not run the request.
-        refusal_count: Number of attempts that did not run the request.
+        run_count: Number of attempts started, without those that are known not to have
+            run the request.
+        refusal_count: Number of attempts that are known not to have run the request.
         may_have_run: Whether an upstream may have run the request.
         failed_response: The last response with a server error, returned if no other
             attempt succeeds.
@@ -293,7 +295,7 @@
         return self.can_hedge and self.run_count < self.call.route.max_attempts
 
     def _get_hedge_delay(self) -> float:
-        newest_start = max(one.started_at for one in self.running.values())
+        newest_start = max(attempt.started_at for attempt in self.running.values())
         delay = HEDGE_DELAY_FRACTION * self.call.route.target_latency
         now = asyncio.get_running_loop().time()
         return max(0.001, newest_start + delay - now)
--- a/buckthornstile/gateway/_handlers.py
+++ b/buckthornstile/gateway/_handlers.py
@@ -41,9 +41,10 @@
 """Seconds in which this process must read the store's latest records before it reports
 a job as unknown."""
 MAX_RESULT_STALENESS = 1.2
-"""Seconds without the store after which a job may have results not known here."""
+"""Seconds since the last read that reached the end of a job's partition, after which
+the job may have results that this process does not know."""
 ANONYMOUS_ACCOUNT = AccountId("open")
-"""Stands in metrics for the callers of routes that need no key."""
+"""Account under which metrics count the callers of routes that need no key."""
 DEFAULT_TIMEOUT = 10.0
 """Seconds that a request may take if it states no remaining time."""
 RESPONSE_MARGIN = 0.02
@@ -67,7 +68,8 @@
         choose_first_owner: Returns the process that runs a new job first.
         peer_client: Forwards requests to other entries.
         key_bound: Seconds within which a withdrawn key must stop working.
-        fails_closed: Whether keys are refused that have not been checked in time.
+        fails_closed: Whether all keys are refused while the configuration is too old
+            (``KEY_BOUND_FRACTION``).
     """
 
     view: TopologyView
@@ -176,10 +178,12 @@
                 retry_after=RETRY_AFTER_SECONDS,
             )
         if not request.key:
-            raise BuckthornstileError(ErrorCode.KEY_MISSING, "the request has no key")
+            raise BuckthornstileError(
+                ErrorCode.KEY_MISSING, "the request has no API key"
+            )
         account = view.find_account(request.key)
         if account is None:
-            raise BuckthornstileError(ErrorCode.KEY_UNKNOWN, "the key is unknown")
+            raise BuckthornstileError(ErrorCode.KEY_UNKNOWN, "the API key is unknown")
         return account
 
     # Calls
@@ -266,8 +270,8 @@
         try:
             return await self.dependencies.peer_client.forward(request, part)
         except BuckthornstileError:
-            # This process consumes the partition from now on, so that it can serve
-            # the client's retry itself.
+            # This process starts to consume the partition, so that it can serve the
+            # client's retry itself.
             job_store.request_partition(part)
             raise
 
@@ -381,7 +385,8 @@
 def make_error_response(error: BuckthornstileError) -> Response:
     """Builds the response to a request that failed.
 
-    A status that promises that nothing ran is used only if the verdict is NOT_RUN.
+    A status by which clients conclude that the request was not run is returned only if
+    the verdict is NOT_RUN.
     """
     status = get_http_status(error.code)
     if status >= 500 or status == 429:
--- a/buckthornstile/gateway/_item_execution.py
+++ b/buckthornstile/gateway/_item_execution.py
@@ -33,7 +33,8 @@
 NO_ROUTE_RETRY_DELAY = 0.1
 """Seconds before a missing scoring route is looked up again."""
 MAX_AVOIDED_UPSTREAMS = 2
-"""Number of upstreams that an item avoids: the latest ones that failed it."""
+"""Maximum number of upstreams that an item avoids: the latest ones whose runs broke,
+timed out or were slow."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,6 +93,13 @@
         context: The job of the item.
         rank: Items with a smaller rank start first.
         urgency: Urgency at the upstream, from 0 (most urgent) to 9.
+        progress: The events that were received so far.
+        avoided: Upstreams that the item avoids.
+        failures: Number of failed runs.
+        refusals_in_a_row: Number of refusals since the last run that was not refused.
+        saved_count: Number of events stored, or being stored, for this job.
+        runs: Upstream and outcome of each run that was not refused.
+        started_at: Time of the first run in seconds, or 0 before it.
     """
 
     item: JobItem
@@ -114,7 +122,7 @@
         Args:
             upstream: The upstream that runs the item.
             route: The route of the job.
-            permit: The permit to use the upstream; released when the run has ended.
+            permit: The permit of this run; released when the run has ended.
 
         Returns:
             The result, or None if the item must be run again.
@@ -285,7 +293,7 @@
         )
 
     async def _find_score(self, call: ScoreCall) -> str | None:
-        """Returns the score of the item, or None if no request gave one."""
+        """Returns the score of the item, or None if it could not be scored."""
         view = self.context.dependencies.view
         failures = 0
         while not self.context.is_expired():
@@ -305,6 +313,12 @@
         return None
 
     async def _score_once(self, call: ScoreCall, route: Route) -> tuple[str, int]:
+        """Sends a scoring request once.
+
+        Returns:
+            The signature of the response, which is the score, or "" without one; and
+            the number of failures to count, 0 or 1.
+        """
         path, _, query = call.path.partition("?")
         request = ClientRequest(
             id=call.id,
--- a/buckthornstile/gateway/_item_runner.py
+++ b/buckthornstile/gateway/_item_runner.py
@@ -25,11 +25,11 @@
 LATENCY_WINDOW_EVENTS = 4
 """Number of latest events over which the latency of a run is averaged."""
 MAX_MIGRATIONS = 3
-"""Number of times that one item may be moved off a slow upstream."""
+"""Maximum number of times that one item is moved from a slow upstream to another."""
 NO_VERSION = -1
-"""Version of a response that names none."""
+"""Version assumed for a response that names no version."""
 RUN_TIMEOUT = 10.0
-"""Seconds that an upstream is given for one run."""
+"""Remaining time that is stated to an upstream for one run, in seconds."""
 REFUSAL_BACKOFF_TIME = 0.08
 """Seconds for which an upstream is avoided after it refused a run."""
 
@@ -49,7 +49,14 @@
 
 @dataclass(slots=True)
 class ItemProgress:
-    """Events that the runs of an item have produced so far."""
+    """Progress of an item over all its runs.
+
+    Attributes:
+        events: Events that the runs have produced so far.
+        migrations: Number of times that the item was moved from a slow upstream.
+        last_status: Status of the last response that was neither a refusal nor 422 nor
+            500, or 0.
+    """
 
     events: list[StreamEvent] = field(default_factory=list)
     migrations: int = 0
@@ -96,7 +103,7 @@
         model: ModelName | None,
         version: int | None,
     ) -> RunOutcome:
-        """Runs an item at an upstream, from its last event on.
+        """Runs an item at an upstream, continuing after its last event.
 
         Args:
             item: The item.
@@ -148,7 +155,7 @@
         self.parser: UpstreamEventParser | None = None
         self.loop = asyncio.get_running_loop()
         self.last_event_at = self.loop.time()
-        self.events = 0
+        self.event_count = 0
         self.is_stale = False
         self.is_broken = False
         self.is_slow = False
@@ -180,7 +187,7 @@
         """Waits for the end of the run; returns whether the run timed out."""
         assert self.task is not None
         while True:
-            event_timeout = EVENT_TIMEOUT if self.events else FIRST_EVENT_TIMEOUT
+            event_timeout = EVENT_TIMEOUT if self.event_count else FIRST_EVENT_TIMEOUT
             remaining = self.last_event_at + event_timeout - self.loop.time()
             if remaining <= 0:
                 return True
@@ -230,12 +237,12 @@
             self._mark_broken()
             return
         now = self.loop.time()
-        if self.events:
+        if self.event_count:
             self.runner.balancer.record_latency(self.upstream, now - self.last_event_at)
         self.runner.balancer.record_activity(self.upstream)
         self.last_event_at = now
         self.event_times.append(now)
-        self.events += 1
+        self.event_count += 1
         self.progress.events.append(event)
         self._check_latency(now)
 
--- a/buckthornstile/gateway/_job_manager.py
+++ b/buckthornstile/gateway/_job_manager.py
@@ -19,13 +19,14 @@
 CHECK_INTERVAL = 0.15
 """Seconds between two checks for jobs without a live owner."""
 NEW_OWNER_GRACE = 0.7
-"""Seconds after a claim in which the owner's first presence record may arrive."""
+"""Seconds after a claim within which the owner's first presence record must arrive."""
 CLAIM_RETRY_DELAY = 1.0
 """Seconds before a claim whose outcome is unknown is retried."""
 DELETE_INTERVAL = 5.0
 """Seconds between two checks for expired jobs to delete."""
 CHECKPOINT_TIMEOUT = 0.5
-"""Seconds to store the progress of all jobs before other processes take over."""
+"""Maximum seconds for storing the progress of all jobs before other processes take
+them over."""
 
 
 class JobManager:
--- a/buckthornstile/gateway/_job_runner.py
+++ b/buckthornstile/gateway/_job_runner.py
@@ -30,7 +30,7 @@
 APPEND_RETRY_DELAY = 0.1
 """Seconds before a failed append is retried."""
 END_POLL_INTERVAL = 0.1
-"""Seconds between two checks whether the job is finished."""
+"""Seconds between two checks of whether the job is finished."""
 MAX_APPEND_BYTES = 1 << 20
 """Bytes of results or progress in one append; the store accepts twice as many."""
 MAX_URGENCY = 9
@@ -38,7 +38,7 @@
 CHECKPOINT_INTERVAL = 0.6
 """Seconds between two checks for progress that should be stored."""
 MIN_CHECKPOINT_EVENTS = 8
-"""Number of new events from which on the progress of an item is stored."""
+"""Minimum number of new events of an item for its progress to be stored."""
 MAX_EVENTS_PER_RECORD = 50
 """Number of events in one record; keeps it well below the maximum record size."""
 SPARE_GROUP_URGENCY = 3
@@ -112,7 +112,7 @@
     # Items
 
     async def _start_items(self, group: asyncio.TaskGroup) -> None:
-        """Starts items as upstreams have capacity, until all are finished."""
+        """Starts items whenever upstreams have capacity, until all are finished."""
         self._executions = [
             self._create_execution(item) for item in self.job.iterate_pending_items()
         ]
@@ -168,10 +168,10 @@
         Items that the trainer waits for rank first; among these, the longest.
         """
         position = self._group_positions[item.group]
-        wanted_count = self.job.specification.wanted_groups or len(
+        required_group_count = self.job.specification.wanted_groups or len(
             self._group_positions
         )
-        is_spare_group = position >= wanted_count
+        is_spare_group = position >= required_group_count
         route = self.context.find_route()
         priority = route.priority if route else 0
         urgency = min(MAX_URGENCY, priority + 1 + SPARE_GROUP_URGENCY * is_spare_group)
--- a/buckthornstile/gateway/_job_store.py
+++ b/buckthornstile/gateway/_job_store.py
@@ -72,7 +72,7 @@
         wall_clock: Returns the seconds since the Unix epoch.
         on_change: Called with a job after a record changed it.
         is_assigned: Whether a partition is assigned to this process.
-        may_load: Whether partitions may be loaded now.
+        may_load: Whether this process may consume partitions now.
     """
 
     def __init__(
@@ -175,7 +175,7 @@
     async def accept(self, specification: JobSpecification, owner: ProcessName) -> None:
         """Stores a job with its first owner.
 
-        Idempotent: a repeat, at this or another process, stores nothing.
+        Idempotent: a further call, in this or another process, stores nothing.
 
         Raises:
             BuckthornstileError: The job is too large, or the append failed or its
@@ -185,7 +185,7 @@
         claim = OwnerClaim(owner, FIRST_EPOCH)
         records = encode_specification(specification, self.max_record_bytes)
         records.append(encode_claim(specification.id, claim))
-        size = sum(len(one.key) + len(one.value) for one in records)
+        size = sum(len(record.key) + len(record.value) for record in records)
         if size > self.max_append_bytes - APPEND_OVERHEAD_BYTES:
             raise BuckthornstileError(
                 ErrorCode.BODY_TOO_LARGE,
@@ -196,6 +196,7 @@
             part = self.find_partition(specification.account)
             await self._append(part, records, producer, APPEND_RETRY_TIME)
         except AppendConflictError as error:
+            # The job is stored already.
             log_event("job.known", job=specification.id, reason=error.message)
 
     async def end(self, job: Job) -> None:
@@ -228,7 +229,7 @@
             PlatformUnavailableError: The append failed or its outcome is unknown.
         """
         consumer = self.consumers[job.part]
-        encoded = [encode_keyed_record(one.key, one.value) for one in records]
+        encoded = [encode_keyed_record(record.key, record.value) for record in records]
         await self.store.append(
             JOB_TOPIC, consumer.part, encoded, producer=producer, timeout=APPEND_TIMEOUT
         )
@@ -245,7 +246,7 @@
         producer: Producer | None,
         retry_time: float,
     ) -> None:
-        encoded = [encode_keyed_record(one.key, one.value) for one in records]
+        encoded = [encode_keyed_record(record.key, record.value) for record in records]
         retry_until = self.clock() + retry_time
         may_have_taken_effect = False
         while True:
@@ -287,7 +288,7 @@
                 log_event("job.record_unreadable", key=record.key, reason=error)
 
         def apply_snapshot(records: list[KeyedRecord]) -> None:
-            for record in sorted(records, key=lambda one: one.offset):
+            for record in sorted(records, key=lambda record: record.offset):
                 apply(record)
 
         return PartitionConsumer(
--- a/buckthornstile/gateway/_load_balancer.py
+++ b/buckthornstile/gateway/_load_balancer.py
@@ -13,10 +13,10 @@
 """Seconds for which the load that an upstream reported is used."""
 BASE_EJECTION_TIME = 0.4
 """Seconds for which an upstream is ejected after one failure; each further failure in
-a row doubles them."""
+a row doubles the time."""
 MAX_EJECTION_TIME = 3.0
-"""Longest ejection, in seconds: a worker that is back must be used again within the
-deadline of a training step."""
+"""Longest ejection, in seconds: an upstream that has recovered must be used again
+within the deadline of a training step."""
 LATENCY_WEIGHT = 0.2
 """Weight of the newest latency in an upstream's moving average."""
 SLOW_LATENCY_RATIO = 1.8
@@ -25,28 +25,29 @@
 """Seconds after its last data for which an upstream counts as active."""
 MAX_EXTRA_LOAD = 2.0
 """Number of requests by which a preferred upstream may exceed the best upstream's load.
-A shared prompt saves less time than a busier engine costs."""
+
+Beyond that, the longer queue costs more time than the cached prompt saves."""
 COLD_WINDOW = 1.05
-"""Seconds over which the starts at a cold upstream are counted: one second, and a
-margin for differences in network delay."""
+"""Seconds over which the requests started at a cold upstream are counted: one second
+and a margin for differences in network delay."""
 
 
 @dataclass(slots=True)
 class UpstreamStats:
-    """What this process has observed of one incarnation of an upstream.
+    """Statistics of one incarnation of an upstream, as this process observed them.
 
     Attributes:
         started_at_ms: Start of the incarnation, in milliseconds since the epoch.
         open_request_count: Number of this process's requests that are open there.
         load: The load that the upstream reported last.
-        load_received_at: When that load was received, in seconds.
+        load_received_at: Time at which that load was received, in seconds.
         own_requests_at_load: This process's open requests at that time.
-        last_active_at: When the upstream last sent something, in seconds.
+        last_active_at: Time at which the upstream last sent data, in seconds.
         consecutive_failures: Number of failures since the last success, 8 at most.
         ejected_until: End of its ejection, in seconds.
         average_latency: Moving average of the seconds that a unit of work takes: until
             the head of a plain response, or between two events of a stream.
-        refused_until: Until when it is avoided after it refused a request, in seconds.
+        refused_until: Time until which it is avoided after a refusal, in seconds.
         start_times: Times of the requests started within ``COLD_WINDOW``, in seconds.
     """
 
@@ -153,19 +154,24 @@
         """
         now = self.clock()
         usable = [
-            one
-            for one in self.view.list_available_upstreams(service)
-            if (is_eligible is None or is_eligible(one))
-            and self.is_below_cold_limit(one, now)
+            candidate
+            for candidate in self.view.list_available_upstreams(service)
+            if (is_eligible is None or is_eligible(candidate))
+            and self.is_below_cold_limit(candidate, now)
         ]
         if not usable:
             return None
         median = self.compute_median_latency(usable)
-        ranked = sorted(usable, key=lambda one: self._rank(one, now, median, avoided))
+        ranked = sorted(
+            usable,
+            key=lambda candidate: self._rank(candidate, now, median, avoided),
+        )
         best = ranked[0]
-        for one in usable:
-            if one.id == preferred and self._is_close_to_best(one, best, now, avoided):
-                return one
+        for candidate in usable:
+            if candidate.id == preferred and self._is_close_to_best(
+                candidate, best, now, avoided
+            ):
+                return candidate
         return best
 
     def _is_close_to_best(
@@ -194,8 +200,8 @@
         """Returns the median latency of the upstreams that have one, or None."""
         latencies = sorted(
             latency
-            for one in upstreams
-            if (latency := self.get_stats(one).average_latency) is not None
+            for upstream in upstreams
+            if (latency := self.get_stats(upstream).average_latency) is not None
         )
         return latencies[(len(latencies) - 1) // 2] if latencies else None
 
@@ -208,11 +214,11 @@
         """
         now = self.clock()
         peers = [
-            one
-            for one in self.view.list_available_upstreams(upstream.service)
-            if one.id != upstream.id
-            and self.get_stats(one).ejected_until <= now
-            and self.has_capacity(one)
+            peer
+            for peer in self.view.list_available_upstreams(upstream.service)
+            if peer.id != upstream.id
+            and self.get_stats(peer).ejected_until <= now
+            and self.has_capacity(peer)
         ]
         median = self.compute_median_latency(peers)
         return median is not None and latency > SLOW_LATENCY_RATIO * median
@@ -228,6 +234,7 @@
         median: float | None,
         avoided: Collection[UpstreamId],
     ) -> tuple[int, float, int]:
+        """Returns a sort key; the upstream with the lowest key is the best choice."""
         stats = self.get_stats(upstream)
         penalty = 2 * (upstream.id in avoided) + (stats.ejected_until > now)
         penalty += stats.refused_until > now
@@ -238,6 +245,7 @@
         return (penalty, round(load * slowness, 3), tie_breaker)
 
     def _estimate_load(self, upstream: Upstream, now: float) -> float:
+        """Returns the estimated number of requests that are open at an upstream."""
         stats = self.get_stats(upstream)
         if stats.load is None or now - stats.load_received_at > LOAD_REPORT_LIFETIME:
             return stats.open_request_count
@@ -247,7 +255,7 @@
     # Cold upstreams
 
     def is_below_cold_limit(self, upstream: Upstream, now: float) -> bool:
-        """Whether this process's share of a cold upstream's limit allows a start."""
+        """Whether this process's share of a cold upstream's limit allows a request."""
         rate = self._get_cold_rate(upstream)
         if not rate or not self.view.is_cold(upstream.id, now):
             return True
@@ -275,7 +283,7 @@
     # Observations
 
     def acquire_permit(self, upstream: Upstream) -> "Permit":
-        """Counts a request that is sent now, until its permit is released."""
+        """Counts a request as open until the returned permit is released."""
         stats = self.get_stats(upstream)
         stats.open_request_count += 1
         if self._get_cold_rate(upstream):
@@ -294,11 +302,11 @@
             stats.own_requests_at_load = stats.open_request_count
 
     def record_activity(self, upstream: Upstream) -> None:
-        """Records that an upstream sent something."""
+        """Records that an upstream sent data."""
         self.get_stats(upstream).last_active_at = self.clock()
 
     def is_active(self, upstream: Upstream) -> bool:
-        """Whether an upstream sent something to this process very recently."""
+        """Whether an upstream sent data in the last ``ACTIVITY_LIFETIME`` seconds."""
         return (
             self.clock() - self.get_stats(upstream).last_active_at < ACTIVITY_LIFETIME
         )
--- a/buckthornstile/gateway/_model_load_dispatcher.py
+++ b/buckthornstile/gateway/_model_load_dispatcher.py
@@ -19,7 +19,8 @@
 from buckthornstile.topology import TopologyView, Upstream
 
 ORDER_TIMEOUT = 0.5
-"""Seconds for an order; shorter than the next holder's wait after lease expiry."""
+"""Seconds until an order times out; shorter than the time that the next lease holder
+waits after the lease has expired."""
 REPORT_TIMEOUT = 0.6
 """Seconds for an engine to report its state."""
 
--- a/buckthornstile/gateway/_partition_assignment.py
+++ b/buckthornstile/gateway/_partition_assignment.py
@@ -12,11 +12,11 @@
 from buckthornstile.routing import compute_rendezvous_score
 
 ASSIGNED_PER_PARTITION = 6
-"""Number of entries assigned to a partition. Spread over the failure domains, at least
-one is left after the loss of any domain and of some more entries."""
+"""Number of entries assigned to a partition. They are spread over the failure
+domains, so that at least one remains if a whole domain and some other entries fail."""
 ASSIGN_ALL_MAX_ENTRIES = 12
-"""Number of entries up to which each is assigned to every partition, as forwarding
-would save little."""
+"""Number of entries up to which every entry is assigned to all partitions, as
+forwarding would save little."""
 
 
 class PartitionAssignment:
--- a/buckthornstile/gateway/_peer_client.py
+++ b/buckthornstile/gateway/_peer_client.py
@@ -1,4 +1,4 @@
-"""Forwards requests to the entries that are assigned to their partition."""
+"""Forwards requests about a job to the entries assigned to the job's partition."""
 
 import asyncio
 
@@ -11,10 +11,9 @@
 from buckthornstile.platform import decode_forwarded_response, encode_forwarded_request
 
 FORWARD_TIMEOUT = 0.6
-"""Seconds that a peer may take to respond, in addition to the wait that the request
-asks for."""
+"""Seconds in which a peer must respond, beyond the wait that the request states."""
 MAX_PEER_ATTEMPTS = 3
-"""Number of peers that are tried, one after the other."""
+"""Maximum number of peers that a request is sent to, one after the other."""
 RETRY_AFTER_SECONDS = 0.1
 """Seconds after which a client may retry a request that no peer responded to."""
 
@@ -24,8 +23,8 @@
 
     Args:
         name: This process's name.
-        assignment: The assignment of partitions to entries.
-        presence: The addresses where the entries listen for each other.
+        assignment: Assigns partitions to entries.
+        presence: Knows the addresses of the other entries.
         pool: Connections to them.
     """
 
@@ -45,8 +44,8 @@
         """Forwards a request to one peer after another until one responds.
 
         Args:
-            request: A request that may be repeated.
-            part: The partition that it concerns.
+            request: An idempotent request, as it may be sent to several peers.
+            part: The partition of the job.
 
         Raises:
             BuckthornstileError: No peer returned a response.
--- a/buckthornstile/gateway/_presence.py
+++ b/buckthornstile/gateway/_presence.py
@@ -36,8 +36,9 @@
         versions: Versions that engines have loaded but do not list in their own entries
             yet, each with the engine's start in milliseconds since the epoch.
         failure_domain: Its failure domain.
-        address: Where it listens for other entries, as ``IP:port``.
-        made_at: When it read its counts, in seconds since the epoch by its own clock.
+        address: Address on which it listens for other entries, as ``IP:port``.
+        made_at: Time at which it read its counts, in seconds since the epoch by its own
+            clock.
     """
 
     name: ProcessName
@@ -97,7 +98,7 @@
 @dataclass(slots=True)
 class _Peer:
     record: PresenceRecord
-    seen_at: float
+    last_seen_at: float
 
 
 class PresenceTable:
@@ -128,7 +129,7 @@
             and now - self._caught_up_at > PRESENCE_TIMEOUT / 2
         ):
             for peer in self._peers.values():
-                peer.seen_at = max(peer.seen_at, now)
+                peer.last_seen_at = max(peer.last_seen_at, now)
         self._caught_up_at = now
 
     def apply(self, record: PresenceRecord) -> None:
@@ -138,7 +139,7 @@
             is_previous_process = (
                 peer.record.node == record.node and name != record.name
             )
-            if is_previous_process or now - peer.seen_at > PEER_RETENTION_TIME:
+            if is_previous_process or now - peer.last_seen_at > PEER_RETENTION_TIME:
                 del self._peers[name]
         self._peers[record.name] = _Peer(record, now)
 
@@ -148,7 +149,7 @@
         return [
             name
             for name, peer in self._peers.items()
-            if peer.seen_at >= oldest_time and not peer.record.is_leaving
+            if peer.last_seen_at >= oldest_time and not peer.record.is_leaving
         ]
 
     def count_vms(self) -> int:
@@ -156,17 +157,21 @@
         return len(self._peers)
 
     def get_failure_domain(self, name: ProcessName) -> FailureDomain:
-        """Returns the failure domain of a process, or an empty name."""
+        """Returns the failure domain of a process, or an empty name if unknown."""
         peer = self._peers.get(name)
         return peer.record.failure_domain if peer is not None else FailureDomain("")
 
     def get_address(self, name: ProcessName) -> str:
-        """Returns where a process listens for other entries, or an empty address."""
+        """Returns the address of a process for other entries, or an empty address."""
         peer = self._peers.get(name)
         return peer.record.address if peer is not None else ""
 
     def list_addresses(self, exclude: ProcessName) -> list[str]:
-        """Returns the addresses of the processes that may be live, except one."""
+        """Returns the addresses of the other processes that may be live.
+
+        Args:
+            exclude: Name of the process that is left out.
+        """
         return [
             peer.record.address
             for name in self.list_possibly_live()
@@ -178,8 +183,10 @@
         return name in self._peers
 
     def list_possibly_live(self) -> list[ProcessName]:
-        """Returns the processes that may still be sending."""
+        """Returns the processes that may still be sending requests to upstreams."""
         oldest_time = self.clock() - MAX_SENDING_TIME
         return [
-            name for name, peer in self._peers.items() if peer.seen_at >= oldest_time
+            name
+            for name, peer in self._peers.items()
+            if peer.last_seen_at >= oldest_time
         ]
--- a/buckthornstile/gateway/_store_proxy.py
+++ b/buckthornstile/gateway/_store_proxy.py
@@ -19,9 +19,9 @@
 from buckthornstile.platform import StoreClient
 
 DIRECT_PATH_LOSS_TIME = 0.6
-"""Seconds without a successful direct call after which a failed one marks the direct
-path as lost. Both a long poll and the interval between two presence records of this
-process are shorter."""
+"""Seconds since the last successful direct call, after which a failed direct call marks
+the direct path as lost. A long poll and the interval between two presence records of
+this process are shorter."""
 PROBE_INTERVAL = 0.4
 """Seconds between two checks of whether the direct path works again."""
 PROXY_BACKOFF_TIME = 1.0
@@ -103,7 +103,7 @@
         """Tries the direct path while it is lost, until cancelled.
 
         Args:
-            probe: Makes a direct call to the store and records its outcome here.
+            probe: Sends a direct call to the store and records its outcome.
         """
         while True:
             await asyncio.sleep(PROBE_INTERVAL)
--- a/buckthornstile/gateway/_stream_proxy.py
+++ b/buckthornstile/gateway/_stream_proxy.py
@@ -62,8 +62,9 @@
     async def open(self, call: RoutedCall) -> Response | StreamingResponse:
         """Sends a request and returns the response once its head has arrived.
 
-        If a stream breaks and its route allows it to be resumed, it goes on at another
-        upstream, under the head of the first one. Otherwise it ends with an error.
+        If a stream breaks and its route allows it to be resumed, another upstream
+        continues it; the client still gets only the first upstream's head. Otherwise
+        the stream ends with an error.
 
         Raises:
             BuckthornstileError: No upstream returned a response; the verdict is NOT_RUN
@@ -73,7 +74,7 @@
 
 
 class _Run:
-    """One run of a request at one upstream.
+    """One attempt to run a request at one upstream.
 
     Attributes:
         head: The response's head, or None before it has arrived.
@@ -114,7 +115,7 @@
         self.task.add_done_callback(self._on_done)
 
     async def wait_for_head(self, deadline: float) -> ResponseHead | None:
-        """Returns the head, or None if the run ended or the deadline passed before it.
+        """Returns the head, or None if the run ended or the deadline passed first.
 
         Args:
             deadline: Deadline in the event loop's time, in seconds.
@@ -155,8 +156,10 @@
         """Whether the upstream ended the stream cleanly, between two events."""
         if not self.task.done() or self.task.cancelled() or self.is_malformed:
             return False
-        is_between = self.parser is not None and self.parser.is_between_events()
-        return self.task.exception() is None and is_between
+        ends_between_events = (
+            self.parser is not None and self.parser.is_between_events()
+        )
+        return self.task.exception() is None and ends_between_events
 
     def get_error(self) -> BuckthornstileError | None:
         """Returns the error with which the run ended, or None."""
@@ -199,15 +202,16 @@
 
 
 class _ProxiedStream:
-    """One request and all its runs.
+    """One request and its attempts at upstreams.
 
     Attributes:
         tried: Upstreams that the request was sent to.
-        run_count: Number of runs, except those that did not run the request.
-        refusal_count: Number of attempts that did not run the request.
+        run_count: Number of attempts started, without those that are known not to have
+            run the request.
+        refusal_count: Number of attempts that are known not to have run the request.
         may_have_run: Whether an upstream may have run the request.
-        last_event_id: Id of the last event sent to the client, or None.
-        version: Model version of the last event, or of the head before the first one.
+        last_event_id: Id of the last event that the client has, or None.
+        version: Model version of the last event; before the first event, of the head.
         is_reported: Whether the sender was notified that the request was run.
     """
 
@@ -261,14 +265,14 @@
             raise self._make_error(
                 ErrorCode.DEADLINE_PASSED, "no upstream responded before the deadline"
             )
-        may_run = self.run_count < max(1, self.route.max_attempts)
-        if self.may_have_run and not (self.route.is_resumable and may_run):
+        has_runs_left = self.run_count < max(1, self.route.max_attempts)
+        if self.may_have_run and not (self.route.is_resumable and has_runs_left):
             raise self._make_error(
                 ErrorCode.ANSWER_TRUNCATED,
                 "the stream ended early and cannot be resumed",
             )
         upstream = None
-        if may_run and self.refusal_count < MAX_REFUSALS:
+        if has_runs_left and self.refusal_count < MAX_REFUSALS:
             upstream = balancer.pick(self.service, avoided=self.tried)
         if upstream is None:
             raise self._make_error(
@@ -348,10 +352,10 @@
 
     async def _proxy_run(self, run: _Run) -> AsyncGenerator[bytes, None]:
         while True:
-            next_item = await run.next_event(self._get_idle_deadline())
-            if next_item is None:
+            event_and_block = await run.next_event(self._get_idle_deadline())
+            if event_and_block is None:
                 return
-            event, block = next_item
+            event, block = event_and_block
             if self.last_event_id is not None and event.id != self.last_event_id + 1:
                 run.is_malformed = True
                 return
@@ -383,7 +387,7 @@
             await run.cancel()
 
     def _get_idle_deadline(self) -> float:
-        """Returns the time until which the current run may be silent, in loop time."""
+        """Returns the time at which a silent run is given up, in the loop's time."""
         if not self.route.is_resumable:
             return self.call.deadline
         return min(
--- a/buckthornstile/gateway/_topology_watcher.py
+++ b/buckthornstile/gateway/_topology_watcher.py
@@ -21,12 +21,12 @@
 from buckthornstile.topology import EXPIRY_GRACE, TopologyView, Upstream
 
 OPERATOR_MAX_WAIT = 0.4
-"""Seconds that a long poll for operator records may last; it bounds for how long a new
-configuration can be unknown here."""
+"""Maximum seconds of a long poll for operator records; limits the time for which a new
+configuration can be unknown to this process."""
 UPSTREAM_MAX_WAIT = 0.5
-"""Seconds that a long poll for upstream entries may last."""
+"""Maximum seconds of a long poll for upstream entries."""
 UPSTREAM_POLL_INTERVAL = 0.12
-"""Seconds between two polls; each upstream writes about once per second."""
+"""Seconds between two polls; each upstream writes its entry about once per second."""
 EXPIRY_OUTAGE_HEARTBEATS = 1.8
 """Length of a store outage, in heartbeat intervals, after which upstream entries may
 have expired. An entry expires after three intervals, and one of them may have passed
@@ -44,7 +44,7 @@
         clock: Returns the time in seconds; it must advance while the VM is suspended.
         on_change: Called after upstreams, evacuations, the configuration or named
             versions changed.
-        heartbeat_interval: Seconds between two writes of an upstream.
+        heartbeat_interval: Seconds between two writes of an upstream's entry.
     """
 
     def __init__(
--- a/buckthornstile/gateway/_usage_reporter.py
+++ b/buckthornstile/gateway/_usage_reporter.py
@@ -10,7 +10,8 @@
 from buckthornstile.platform import DutyClient
 
 REPORT_TIMEOUT = 0.5
-"""Seconds for a report; shorter than the next holder's wait after lease expiry."""
+"""Seconds until a report times out; shorter than the time that the next lease holder
+waits after the lease has expired."""
 REPORT_RETRY_DELAY = 0.3
 """Seconds before a failed report is retried."""
 
