--- a/buckthornstile/consumers/_partition_consumer.py
+++ b/buckthornstile/consumers/_partition_consumer.py
@@ -17,12 +17,14 @@
 INITIAL_RETRY_DELAY = 0.05
 """Seconds before a failed read is retried; doubles up to ``MAX_RETRY_DELAY``."""
 MAX_RETRY_DELAY = 0.4
-"""Seconds; a store's return must be noticed well within every staleness limit."""
+"""Maximum delay in seconds. A store that is reachable again must be read well before
+the consumer's records reach a staleness limit."""
 READ_TIMEOUT = 0.7
-"""Seconds beyond the requested wait; ten times a slow store's usual response time."""
+"""Seconds in which the store must respond, beyond the requested wait; ten times the
+usual response time of a slow store."""
 
 PAGE_TIMEOUT = 3.0
-"""Seconds for one page of the latest records, up to 1.4 MB on a slow link."""
+"""Seconds for reading one page of the latest records: up to 1.4 MB on a slow link."""
 
 OnRecord = Callable[[KeyedRecord], None]
 OnSnapshot = Callable[[list[KeyedRecord]], None]
@@ -31,21 +33,25 @@
 class PartitionConsumer:
     """Consumes one partition.
 
-    ``synced_at`` is the time at which the latest read that reached the end was sent:
-    all records that the store acknowledged before then have been consumed.
+    ``synced_at`` is the time at which the latest read that reached the partition's end
+    was sent. All records that the store acknowledged before then have been consumed.
 
     Args:
         store: Client of the store.
         topic: Name of the topic.
         part: Number of the partition.
         clock: Returns the time in seconds; must also advance during suspend.
-        max_wait: Seconds for which the store may hold a read without a record.
-        poll_interval: Seconds between two reads, so that one fetches several records.
+        max_wait: Maximum seconds for which the store holds a read until a new record
+            arrives (long poll).
+        poll_interval: Seconds to wait between two reads, so that one read fetches
+            several records.
         on_record: Called with each record of a keyed topic.
         on_snapshot: Called with the latest record of each key, at the start and after
-            history was dropped; None for a topic without keys.
-        on_raw_record: Called with offset and bytes, for a topic without keys.
-        on_caught_up: Called after each read that reached the end.
+            the store dropped records that were not read yet; None for a topic without
+            keys.
+        on_raw_record: Called with offset and bytes of each record of a topic without
+            keys.
+        on_caught_up: Called after each read that reached the partition's end.
         ordered: Whether records must arrive in the order of their offsets. The
             snapshot then holds only records before the end offset of its first page.
     """
@@ -87,15 +93,15 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the snapshot was read; for a topic without keys, a read was sent."""
+        """Whether the snapshot was read or, without keys, a first read was started."""
         return self._next_offset is not None
 
     def get_staleness(self) -> float:
-        """Returns the seconds since the latest read that reached the end was sent."""
+        """Returns the seconds since ``synced_at``."""
         return self.clock() - self.synced_at
 
     async def wait_until_synced(self, timeout: float) -> bool:
-        """Waits for a read that is sent from now on to reach the end.
+        """Waits until a read that is sent after this call reaches the partition's end.
 
         Args:
             timeout: Seconds to wait.
--- a/buckthornstile/consumers/tests/test_partition_consumer.py
+++ b/buckthornstile/consumers/tests/test_partition_consumer.py
@@ -9,11 +9,15 @@
 from buckthornstile.consumers import PartitionConsumer
 from buckthornstile.platform import FetchResult, KeyedRecord, OffsetOutOfRangeError
 
-PAGES = 4
+PAGE_COUNT = 4
 
 
 class FakeStore:
-    """Serves pages of one record each; fails at chosen pages and drops history."""
+    """Serves snapshot pages of one record each.
+
+    Requests for the pages in ``fails_at`` fail, once per mention; as many reads as
+    ``pending_drops`` fail because the store dropped their records.
+    """
 
     def __init__(self, fails_at=()):
         self.fails_at = list(fails_at)
@@ -21,15 +25,15 @@
         self.pending_drops = 0
         self.reads = 0
 
-    async def read_latest_page(self, topic, part, pages, *, timeout):
-        page_number = len(pages.records)
+    async def read_latest_page(self, topic, part, latest, *, timeout):
+        page_number = len(latest.records)
         self.requested_pages.append(page_number)
         if page_number in self.fails_at:
             self.fails_at.remove(page_number)
             raise PlatformUnavailableError("the store sent no response in time")
-        pages.end_offset = pages.end_offset if pages.end_offset >= 0 else 10
-        pages.records.append(KeyedRecord(page_number, f"k{page_number}", b"v"))
-        pages.is_complete = page_number == PAGES - 1
+        latest.end_offset = latest.end_offset if latest.end_offset >= 0 else 10
+        latest.records.append(KeyedRecord(page_number, f"k{page_number}", b"v"))
+        latest.is_complete = page_number == PAGE_COUNT - 1
 
     async def read(self, topic, part, start, *, wait, timeout):
         self.reads += 1
@@ -78,7 +82,7 @@
 
 
 @pytest.mark.parametrize("failures", [0, 1])
-def test_staleness_counts_from_sending_of_successful_read(failures):
+def test_staleness_is_small_after_successful_reads(failures):
     store = FakeStore(fails_at=[0] * failures)
     consumer, _ = asyncio.run(
         consume(store, lambda consumer, snapshots: store.reads > 2)
@@ -92,18 +96,18 @@
     def __init__(self):
         self.records_in_log = [KeyedRecord(0, "m", b"v"), KeyedRecord(1, "y", b"v")]
 
-    async def read_latest_page(self, topic, part, pages, *, timeout):
-        if not pages.records:
-            pages.end_offset = len(self.records_in_log)
-            pages.records.append(self.records_in_log[0])
+    async def read_latest_page(self, topic, part, latest, *, timeout):
+        if not latest.records:
+            latest.end_offset = len(self.records_in_log)
+            latest.records.append(self.records_in_log[0])
             # "a" belongs to the page that was just read, "z" to the next page.
             self.records_in_log += [
                 KeyedRecord(2, "a", b"v"),
                 KeyedRecord(3, "z", b"v"),
             ]
             return
-        pages.records += [record for record in self.records_in_log if record.key > "m"]
-        pages.is_complete = True
+        latest.records += [record for record in self.records_in_log if record.key > "m"]
+        latest.is_complete = True
 
     async def read(self, topic, part, start, *, wait, timeout):
         await asyncio.sleep(0.005)
@@ -145,7 +149,7 @@
 def test_records_arrive_in_order_while_partition_grows():
     """Records are appended while the pages of the snapshot are read.
 
-    Out of order, the results of two owners of a job would get different positions at
-    different processes.
+    If they were applied out of order, the results that two owners stored for a job
+    could get different positions in different processes.
     """
     assert asyncio.run(read_growing_store()) == [0, 1, 2, 3]
--- a/buckthornstile/http_client/_connection_pool.py
+++ b/buckthornstile/http_client/_connection_pool.py
@@ -20,17 +20,20 @@
 from buckthornstile.base import BuckthornstileError, ErrorCode, Verdict
 
 CONNECT_TIMEOUT = 0.3
-"""Seconds; a lost SYN packet is retransmitted only after one second."""
+"""Seconds for opening a connection. The kernel retransmits a lost SYN packet only after
+one second, so a new attempt is faster than waiting."""
 USER_TIMEOUT_MS = 3000
 """Milliseconds after which a connection with unacknowledged data is closed."""
 DEFAULT_IDLE_SECONDS = 3.0
 """Seconds that an idle connection is kept if the peer states no timeout."""
 IDLE_MARGIN = 0.5
-"""Seconds before the peer's idle timeout at which a connection is dropped."""
+"""Seconds before the peer's idle timeout from which a connection is not reused."""
 MAX_HEADER_BYTES = 64 << 10
 CHUNK_BYTES = 64 << 10
+"""Maximum number of bytes that are read from a connection at once."""
 MAX_RESPONSE_BYTES = 64 << 20
-INFORMATIONAL_STATUS_END = 200
+FIRST_FINAL_STATUS = 200
+"""Responses with a lower status are informational: the final response follows them."""
 NO_LINGER = struct.pack("ii", 1, 0)
 """``SO_LINGER`` on, with a timeout of zero: closing resets the connection."""
 
@@ -69,6 +72,7 @@
 
 
 OnHeaders = Callable[[HTTPResponse], None]
+"""Receives the response when its status and headers have arrived."""
 OnData = Callable[[bytes], Awaitable[None] | None]
 """Receives a chunk of the body; reading pauses until a returned awaitable is done."""
 
@@ -92,9 +96,11 @@
         headers: HTTPHeaders,
     ) -> None:
         assert isinstance(start_line, ResponseStartLine)
-        if start_line.code < INFORMATIONAL_STATUS_END:
+        if start_line.code < FIRST_FINAL_STATUS:
             return
         if self.request.echo_header:
+            # The first response on a new connection may lack the header, as it cannot
+            # belong to an earlier request.
             echo = headers.get(self.request.echo_header)
             if echo != self.request.echo and (echo is not None or self.is_reused):
                 self.is_mismatched = True
@@ -259,6 +265,11 @@
     reader: _ResponseReader,
     before_send: Callable[[], None] | None,
 ) -> bool:
+    """Writes a request and reads the response.
+
+    Returns:
+        Whether the connection is still open.
+    """
     parameters = HTTP1ConnectionParameters(
         chunk_size=CHUNK_BYTES,
         max_header_size=MAX_HEADER_BYTES,
@@ -294,7 +305,7 @@
 
 
 def _consume_error(write_future: "asyncio.Future[None]") -> None:
-    # A failed write also shows as a missing response, which is reported.
+    # A failed write also leads to a missing response, which is reported as an error.
     if not write_future.cancelled():
         write_future.exception()
 
--- a/buckthornstile/http_client/tests/test_connection_pool.py
+++ b/buckthornstile/http_client/tests/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Tests the connection pool against a server that sends malformed responses."""
+"""Tests the connection pool against a server that sends prepared responses."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -41,37 +41,41 @@
     return f"{head}{extra_headers}\r\n".encode() + body
 
 
-def serve_in_turn(
-    *responses: bytes, then_close: bool = False
+def serve_responses(
+    *responses: bytes, closes_after_response: bool = False
 ) -> tuple[Serve, list[int]]:
-    """Returns a server of the responses in turn, and its requests per connection."""
+    """Creates a server that sends the given responses one after the other.
+
+    Returns:
+        The server, and a list that counts the requests of each connection.
+    """
     pending = list(responses)
-    counts: list[int] = []
+    request_counts: list[int] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        counts.append(0)
-        connection = len(counts) - 1
+        request_counts.append(0)
+        connection = len(request_counts) - 1
         try:
             while pending:
                 await read_request(reader)
-                counts[connection] += 1
+                request_counts[connection] += 1
                 writer.write(pending.pop(0))
                 await writer.drain()
-                if then_close:
+                if closes_after_response:
                     break
         except (asyncio.IncompleteReadError, ConnectionResetError):
             pass
         writer.close()
 
-    return serve, counts
+    return serve, request_counts
 
 
 def test_nothing_is_sent_if_before_send_raises() -> None:
     """The process may be paused while it connects.
 
-    The request must not be sent if it is no longer allowed afterwards.
+    If the request is no longer allowed after the pause, it must not be sent.
     """
-    serve, counts = serve_in_turn(make_response())
+    serve, request_counts = serve_responses(make_response())
 
     def reject() -> None:
         raise BuckthornstileError(ErrorCode.CONFIGURATION_OLD)
@@ -84,11 +88,11 @@
         assert bytes(response.body) == b"ok"
 
     run_test(serve, test)
-    assert sum(counts) == 1
+    assert sum(request_counts) == 1
 
 
 def test_connection_is_reused() -> None:
-    serve, counts = serve_in_turn(make_response(), make_response())
+    serve, request_counts = serve_responses(make_response(), make_response())
 
     async def test(pool: ConnectionPool, address: str) -> None:
         for _ in range(2):
@@ -96,7 +100,7 @@
             assert (response.status, bytes(response.body)) == (200, b"ok")
 
     run_test(serve, test)
-    assert counts == [2]
+    assert request_counts == [2]
 
 
 @pytest.mark.parametrize(
@@ -108,7 +112,7 @@
     ],
 )
 def test_unusable_connection_is_not_reused(first: bytes) -> None:
-    serve, counts = serve_in_turn(first, make_response())
+    serve, request_counts = serve_responses(first, make_response())
 
     async def test(pool: ConnectionPool, address: str) -> None:
         await pool.send(address, REQUEST)
@@ -116,7 +120,7 @@
         assert bytes((await pool.send(address, REQUEST)).body) == b"ok"
 
     run_test(serve, test)
-    assert counts == [1, 1]
+    assert request_counts == [1, 1]
 
 
 @pytest.mark.parametrize(
@@ -131,7 +135,7 @@
 def test_verdict_of_invalid_response_is_may_have_run(
     response: bytes, code: ErrorCode
 ) -> None:
-    serve, _ = serve_in_turn(response, then_close=True)
+    serve, _ = serve_responses(response, closes_after_response=True)
 
     async def test(pool: ConnectionPool, address: str) -> None:
         with pytest.raises(BuckthornstileError) as caught:
@@ -143,8 +147,8 @@
 
 
 def test_response_without_length_ends_when_connection_closes() -> None:
-    body = b"HTTP/1.1 200 OK\r\nRequest-Id: r1\r\n\r\nto the end"
-    serve, _ = serve_in_turn(body, then_close=True)
+    response = b"HTTP/1.1 200 OK\r\nRequest-Id: r1\r\n\r\nto the end"
+    serve, _ = serve_responses(response, closes_after_response=True)
 
     async def test(pool: ConnectionPool, address: str) -> None:
         assert bytes((await pool.send(address, REQUEST)).body) == b"to the end"
--- a/buckthornstile/messages/_types.py
+++ b/buckthornstile/messages/_types.py
@@ -17,7 +17,8 @@
     ``headers`` are those that are forwarded to an upstream. ``remaining_time`` is the
     time for which the client still waits, in seconds, or None. ``wait`` is the time
     for which a read of results may be held, in seconds. ``last_event_id`` is the id
-    of the last event that the client already has, or None.
+    of the last event that the client already has, or None. ``key`` is the client's API
+    key, or None.
     """
 
     id: str
@@ -98,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerationHints:
-    """Hints about a generation request that a model engine gets beside its body.
+    """Hints about a generation request that are sent to a model engine with the body.
 
     ``expected_tokens`` is the estimated length of the response, or 0 if unknown.
     """
@@ -112,7 +113,11 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamLoad:
-    """Load that an upstream reports with a response: requests and slots."""
+    """Load that an upstream reports with a response.
+
+    ``running`` and ``waiting`` are numbers of requests; ``slots`` is the number of
+    requests that the upstream can run at the same time.
+    """
 
     running: int
     waiting: int
@@ -124,8 +129,9 @@
     """Status and headers of an upstream's response.
 
     ``is_refusal`` guarantees that the request was not run. ``version`` is the version
-    that produced the first event, or None. ``other_upstream`` is the id of the
-    upstream that responded, if the response names one.
+    that produced the first event, or None. ``signature`` is the value of the signature
+    header, or empty. ``other_upstream`` is the id of the upstream that responded, if
+    the request was addressed to another one, or None.
     """
 
     status: int
@@ -148,7 +154,7 @@
 
 
 class LoadOrderResult(Enum):
-    """Response of an upstream to a load order."""
+    """Outcome of a load order, as the upstream's response states it."""
 
     ACCEPTED = "accepted"
     ALREADY_HOLDS = "already_holds"
@@ -170,6 +176,8 @@
 
     ``expected_orders`` is the number of orders that the upstream must have accepted so
     far; otherwise it rejects the order, so that a delayed order has no effect.
+    ``holder`` is the VM of the lease holder that sends the order, and ``term`` the term
+    of its lease.
     """
 
     upstream: UpstreamId
@@ -183,7 +191,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """Report of an engine about its state."""
+    """Report of an engine about its state.
+
+    ``versions`` holds the version that is loaded of each model. ``is_busy`` is whether
+    the engine is still loading. ``order_count`` is the number of load orders that it
+    has accepted.
+    """
 
     versions: dict[ModelName, int] = field(default_factory=dict)
     is_busy: bool = False
