--- a/buckthornstile/api/_admission.py
+++ b/buckthornstile/api/_admission.py
@@ -16,9 +16,9 @@
 from buckthornstile.queueing import FairQueue, QueueItem
 
 QUEUE_RETRY_AFTER_SECONDS = 0.2
-"""Seconds after which a call that was rejected as queue full may be retried."""
+"""Seconds after which a call rejected with ``QUEUE_FULL`` may be retried."""
 DISPATCH_INTERVAL = 0.2
-"""Seconds between checks whether the concurrency limit of a service has risen."""
+"""Seconds between two checks for an increased concurrency limit of a service."""
 
 
 @dataclass(slots=True)
--- a/buckthornstile/api/_caller_handlers.py
+++ b/buckthornstile/api/_caller_handlers.py
@@ -46,6 +46,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _Call:
+    """A checked call; ``generation`` is None if a plain service runs it."""
+
     request: ApiRequest
     authorization: Authorization
     routed_call: RoutedCall
@@ -152,7 +154,7 @@
         )
 
     async def _generate(self, call: _Call) -> Response:
-        """Collects the events of an engine into one JSON response."""
+        """Returns all events of an engine in one JSON response."""
         opened = await self.dependencies.stream_proxy.open(call.routed_call)
         if isinstance(opened, Response):
             headers = _add_ran_verdict(_filter_headers(opened.headers))
--- a/buckthornstile/api/_configuration.py
+++ b/buckthornstile/api/_configuration.py
@@ -113,7 +113,7 @@
         )
 
     def is_withdrawn(self, key: KeyId) -> bool:
-        """Whether work under a key must stop because the key may not be valid."""
+        """Whether work under a key must stop, as the key is not known to be valid."""
         known = self.current.keys.get(key)
         return not self.is_fresh() or known is None or known.withdrawn
 
--- a/buckthornstile/api/_deduplication.py
+++ b/buckthornstile/api/_deduplication.py
@@ -37,20 +37,20 @@
 CALL_TOPIC = "calls"
 PRODUCER_EPOCH = 1
 MAX_CLAIMS = 16
-"""Number of times that one call may be claimed."""
+"""Maximum number of times that one call may be claimed."""
 MAX_APPEND_ATTEMPTS = 3
-"""Number of failed appends of one record after which the call is rejected."""
+"""Number of failed appends of a record after which the call is rejected."""
 MAX_CACHED_RESPONSES = 4096
-"""Number of runs whose outcome is cached for retries."""
+"""Maximum number of runs whose outcome is cached for retries."""
 MAX_CACHED_BYTES = 16 << 20
-"""Total size of the responses that are cached for retries."""
+"""Maximum total size of the responses that are cached for retries."""
 CALL_DIGEST_BYTES = 16
 CLAIM_TOKEN_BYTES = 8
 
 
 @dataclass(slots=True)
 class _CachedRun:
-    """The task that runs a call, cached with its outcome, and the size in bytes."""
+    """A task that runs or has run a call, and the size of its response in bytes."""
 
     task: "asyncio.Task[Response]"
     size: int = 0
@@ -153,7 +153,8 @@
             try:
                 offset = await self._append(digest, sequence, token)
             except AppendConflictError as error:
-                # An even number is free; an odd one follows an unreleased claim.
+                # If the store expects an odd number, the claim before it was not
+                # released. A larger even number follows a release.
                 if error.expected % 2 or error.expected <= sequence:
                     break
                 sequence = error.expected
--- a/buckthornstile/api/_dependencies.py
+++ b/buckthornstile/api/_dependencies.py
@@ -99,7 +99,7 @@
 
     Raises:
         BuckthornstileError: The request is not allowed, or the configuration is
-            missing or too old to decide.
+            missing or too old.
     """
     watcher = dependencies.configuration_watcher
     if not watcher.is_loaded:
@@ -142,7 +142,7 @@
 
     Raises:
         BuckthornstileError: The request has no key, the key is unknown or withdrawn,
-            or the configuration is too old to decide.
+            or the configuration is too old.
     """
     if not request.key:
         raise BuckthornstileError(ErrorCode.KEY_MISSING, "the request has no API key")
@@ -190,6 +190,6 @@
     if not watcher.is_fresh():
         return make_revocation_error(
             ErrorCode.CONFIGURATION_OLD,
-            "the configuration is too old to tell whether the API key is still valid",
+            "the configuration is too old to check whether the API key is valid",
         )
     return None
--- a/buckthornstile/api/_lot_attachment.py
+++ b/buckthornstile/api/_lot_attachment.py
@@ -28,9 +28,9 @@
 JOB_READ_TIMEOUT = 3.0
 """Seconds to wait until a partition or an accepted job is read from the store."""
 MAX_JOBS_PER_VERSION = 8
-"""Number of jobs of a lot for one minimum version.
+"""Maximum number of jobs of a lot for one minimum version.
 
-Each job after the first generates the samples that its predecessor gave up.
+Each job after the first generates the samples that its predecessor abandoned.
 """
 
 
@@ -100,8 +100,8 @@
         """Finds or creates the job that generates the missing samples of a lot.
 
         Raises:
-            BuckthornstileError: The job may not be stored, or too many jobs of the lot
-                have given up samples.
+            BuckthornstileError: The job could not be stored or read back, or too many
+                jobs of the lot have abandoned samples.
         """
         account = attachment.authorization.account.name
         minimum_version = self.find_minimum_version(attachment)
@@ -134,7 +134,7 @@
             The id of the job, and the job or None if it does not exist yet.
 
         Raises:
-            BuckthornstileError: Too many jobs have given up samples.
+            BuckthornstileError: Too many jobs have abandoned samples.
         """
         for number in range(MAX_JOBS_PER_VERSION):
             job_id = make_job_id(attachment.lot, minimum_version, number)
@@ -143,7 +143,7 @@
                 return job_id, job
         raise BuckthornstileError(
             ErrorCode.UPSTREAM_FAILED,
-            f"{MAX_JOBS_PER_VERSION} jobs of the lot have given up samples",
+            f"{MAX_JOBS_PER_VERSION} jobs of the lot have abandoned samples",
             verdict=Verdict.MAY_HAVE_RUN,
         )
 
--- a/buckthornstile/api/_lot_handlers.py
+++ b/buckthornstile/api/_lot_handlers.py
@@ -49,8 +49,10 @@
 LOT_PATH = "/v1/lots"
 TRAINER_PATH = "/v1/trainers/"
 HEARTBEAT_INTERVAL = 1.0
-"""Seconds without a sample after which a heartbeat line is sent."""
-MAX_ATTACH_NUMBER = 1 << 40
+"""Seconds without a line after which a heartbeat line is sent."""
+ATTACH_NUMBER_LIMIT = 1 << 40
+"""Number that all attach numbers must be below; a trainer increases its attach number
+with each attach."""
 NDJSON_CONTENT_TYPE = ("Content-Type", "application/x-ndjson")
 
 
@@ -115,7 +117,10 @@
         return make_json_response({"version": version})
 
     async def _acknowledge(self, request: ApiRequest, lot: str) -> Response:
-        """Confirms the slots that a trainer has received, if its attach is current."""
+        """Checks an acknowledgement of received slots; nothing is stored.
+
+        It is rejected if the trainer has attached to the lot again since.
+        """
         key = authenticate(self.dependencies, request)
         data = parse_json_object(request)
         slots = parse_slots(data.get("slots", []))
@@ -162,7 +167,7 @@
         data = parse_json_object(request)
         specification = parse_specification(data.get("specification"))
         number = data.get("attach")
-        if not is_non_negative_int(number) or int(str(number)) >= MAX_ATTACH_NUMBER:
+        if not is_non_negative_int(number) or int(str(number)) >= ATTACH_NUMBER_LIMIT:
             raise BuckthornstileError(
                 ErrorCode.LOT_INVALID,
                 "attach must be an integer from 0 to 2**40 - 1",
@@ -200,6 +205,8 @@
     ) -> AsyncGenerator[bytes, None]:
         self.open_lots += 1
         try:
+            # A generator that has not started skips its cleanup when it is closed, so
+            # the caller advances it to this yield first.
             yield b""
             async for line in self._generate_lines(attachment, job):
                 yield line
@@ -246,7 +253,7 @@
                 # The next attach creates a job that generates these samples again.
                 raise BuckthornstileError(
                     ErrorCode.UPSTREAM_FAILED,
-                    f"{len(attachment.missing)} samples of the lot were given up",
+                    f"{len(attachment.missing)} samples of the lot were abandoned",
                     verdict=Verdict.MAY_HAVE_RUN,
                 )
             if self.dependencies.clock() - last_line_at > HEARTBEAT_INTERVAL:
--- a/buckthornstile/api/_operator_handlers.py
+++ b/buckthornstile/api/_operator_handlers.py
@@ -18,13 +18,13 @@
     """State of an entry process.
 
     Args:
-        ready: Whether the entry accepts requests of callers.
+        ready: Whether the external load balancer may send new clients to the entry.
         stopping: Whether the entry was asked to stop.
         is_holder: Whether the entry is the lease holder.
         term: The newest known term of the lease.
         holder: The process that holds the lease, or None.
         jobs: Number of jobs that the entry runs.
-        entries: The entries that are alive.
+        entries: The live entries.
     """
 
     ready: bool
--- a/buckthornstile/api/_requests.py
+++ b/buckthornstile/api/_requests.py
@@ -71,10 +71,10 @@
         return parse_qs(self.query).get(name, [""])[0]
 
     def parse_timeout(self, default: float, maximum: float) -> float:
-        """Parses the seconds until the caller times out.
+        """Returns the timeout of the request in seconds.
 
         Args:
-            default: Seconds if the request has no timeout header.
+            default: Timeout in seconds if the request has no timeout header.
             maximum: Upper bound of the result, in seconds.
 
         Raises:
@@ -140,7 +140,7 @@
 def encode_api_response(
     request: ApiRequest, response: Response | StreamingResponse
 ) -> Headers:
-    """Returns the headers of a response, without those of the connection."""
+    """Returns the headers of a response; the listener adds those of the connection."""
     return response.headers
 
 
--- a/buckthornstile/api/tests/test_admission.py
+++ b/buckthornstile/api/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission shares capacity by weight, rejects excess calls and frees capacity."""
+"""Tests of admission: fair shares, limits and release of capacity."""
 
 import asyncio
 from collections import Counter
@@ -58,8 +58,8 @@
     assert max(i for i, name in enumerate(order) if name == "quiet") < 40
 
 
-def test_exceeded_limits_raise_coded_errors():
-    """Guards against calls that queue beyond the account's limit or their deadline."""
+def test_exceeded_limit_raises_error_with_its_code():
+    """Guards against calls that are queued above a limit or past their deadline."""
 
     async def run():
         controller = make_controller(1, maximum_open=3)
--- a/buckthornstile/api/tests/test_deduplication.py
+++ b/buckthornstile/api/tests/test_deduplication.py
@@ -15,7 +15,7 @@
 
 
 class DeduplicationSetup:
-    """Two deduplicators, as in two entries, on one store; counts executed calls."""
+    """Two deduplicators on one store, as of two entries; counts executed calls."""
 
     def __init__(self, deduplicator_type=CallDeduplicator):
         self.application = make_application()
@@ -37,7 +37,8 @@
 
         return await self.deduplicators[entry].run(ACCOUNT, key, work)
 
-    async def attempt_rejected(self, entry, **options):
+    async def expect_rejection(self, entry, **options):
+        """Attempts a call that must be rejected, and returns its error."""
         with pytest.raises(BuckthornstileError) as caught:
             await self.attempt(entry, **options)
         return caught.value
@@ -70,7 +71,7 @@
 
     async def scenario(setup):
         await setup.attempt(0)
-        error = await setup.attempt_rejected(1)
+        error = await setup.expect_rejection(1)
         assert error.code is ErrorCode.DUPLICATE_IN_FLIGHT
         assert error.verdict is Verdict.MAY_HAVE_RUN
 
@@ -78,15 +79,15 @@
 
 
 def test_call_that_was_not_run_may_run_at_other_entry():
-    """Guards against a claim that stays after a run that failed with NOT_RUN."""
+    """Guards against a claim that is not released after a run failed with NOT_RUN."""
 
     not_run = BuckthornstileError(ErrorCode.NO_UPSTREAM)
 
     async def scenario(setup):
         for entry in (0, 1, 0):
-            assert await setup.attempt_rejected(entry, error=not_run) is not_run
+            assert await setup.expect_rejection(entry, error=not_run) is not_run
         assert (await setup.attempt(1)).body == b"done"
-        assert (await setup.attempt_rejected(0)).verdict is Verdict.MAY_HAVE_RUN
+        assert (await setup.expect_rejection(0)).verdict is Verdict.MAY_HAVE_RUN
 
     assert run_scenario(scenario).runs == 1
 
@@ -97,9 +98,9 @@
     lost = BuckthornstileError(ErrorCode.UPSTREAM_FAILED, verdict=Verdict.MAY_HAVE_RUN)
 
     async def scenario(setup):
-        assert await setup.attempt_rejected(0, error=lost) is lost
-        assert await setup.attempt_rejected(0) is lost
-        assert (await setup.attempt_rejected(1)).verdict is Verdict.MAY_HAVE_RUN
+        assert await setup.expect_rejection(0, error=lost) is lost
+        assert await setup.expect_rejection(0) is lost
+        assert (await setup.expect_rejection(1)).verdict is Verdict.MAY_HAVE_RUN
 
     assert run_scenario(scenario).runs == 0
 
@@ -122,17 +123,17 @@
 
 
 def test_append_is_retried_after_lost_store_response():
-    """Guards against rejecting a call whose claim was stored without a response."""
+    """Guards against a rejection if only the response to the claim's append is lost."""
 
     async def scenario(setup):
         setup.faults.add({"kind": "lose_answer", "target": "append", "count": 2})
         assert (await setup.attempt(0)).body == b"done"
-        assert (await setup.attempt_rejected(1)).verdict is Verdict.MAY_HAVE_RUN
+        assert (await setup.expect_rejection(1)).verdict is Verdict.MAY_HAVE_RUN
 
     assert run_scenario(scenario).runs == 1
 
 
-def test_unavailable_store_rejects_call_with_unknown_outcome():
+def test_call_is_rejected_as_may_have_run_if_store_is_unavailable():
     """Guards against running a call that cannot be claimed.
 
     A call with a generated key needs no claim and still runs.
@@ -140,7 +141,7 @@
 
     async def scenario(setup):
         setup.faults.add({"kind": "busy", "target": "append"})
-        error = await setup.attempt_rejected(0)
+        error = await setup.expect_rejection(0)
         assert error.code is ErrorCode.PLATFORM_UNAVAILABLE
         assert error.verdict is Verdict.MAY_HAVE_RUN
         assert (await setup.attempt(0, key="auto-1")).body == b"done"
--- a/buckthornstile/entry/__main__.py
+++ b/buckthornstile/entry/__main__.py
@@ -1,6 +1,6 @@
 """Runs an entry: ``python -m buckthornstile.entry``.
 
-The environment names the settings file.
+The environment variable ``BUCKTHORNSTILE_CONFIG`` holds the path of its settings file.
 """
 
 from buckthornstile.entry import run_entry
--- a/buckthornstile/entry/_components.py
+++ b/buckthornstile/entry/_components.py
@@ -66,8 +66,8 @@
         resources: The shared resources of the entry.
         list_possibly_live: Returns the entries that may be sending requests now.
         on_change: Called after each change of the topology.
-        on_executed: Called with the account and the age in seconds of a request
-            that an upstream has executed.
+        on_executed: Called when an upstream has executed a request, with its account
+            and the seconds since it started.
     """
     settings, view, pool = resources.settings, resources.view, resources.pool
     balancer = LoadBalancer(
@@ -135,7 +135,7 @@
 
     Args:
         resources: The shared resources of the entry.
-        balancer: Knows which upstreams are ejected, and records their failures.
+        balancer: Holds which upstreams are ejected, and records their failures.
         presence_publisher: Publishes loaded versions to the other entries, and sums
             the usage that all entries counted.
     """
--- a/buckthornstile/entry/_daemon.py
+++ b/buckthornstile/entry/_daemon.py
@@ -68,8 +68,8 @@
 MAX_READY_STALENESS = 2.5
 """Seconds without the store after which an entry is not ready for new clients."""
 MIN_DRAIN_TIME = 3.0
-"""Seconds; long enough for the balancer in front of the entries to see two failed
-readiness probes and to send its clients elsewhere."""
+"""Seconds; long enough for the external load balancer in front of the entries to see
+two failed readiness probes and to send its clients to other entries."""
 STOP_MARGIN = 1.5
 """Seconds between the exit of a stopping process and the SIGKILL that would follow."""
 STOP_POLL_INTERVAL = 0.05
@@ -153,7 +153,7 @@
         return self.started_wall_time + self.clock() - self.started_at
 
     def is_ready(self) -> bool:
-        """Whether the balancer may send new clients to this entry."""
+        """Whether the external load balancer may send new clients to this entry."""
         if self.is_stopping or not self.job_store.is_loaded():
             return False
         ages = []
@@ -172,7 +172,7 @@
         loop = asyncio.get_running_loop()
         stop = asyncio.Event()
         loop.add_signal_handler(signal.SIGTERM, stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self._reload)
+        loop.add_signal_handler(signal.SIGHUP, self._check_settings_file)
         for listener in self.listeners:
             port = listener.listen()
             if listener.address == self.settings.api_address:
@@ -422,7 +422,10 @@
             self.client_listener.max_header_bytes = limits.max_header_bytes
 
     def _may_load_jobs(self) -> bool:
-        """Whether jobs may be loaded: only once the state that calls need is loaded."""
+        """Whether the topology and the presence of all entries are loaded.
+
+        Jobs are loaded only after them, as calls need both.
+        """
         is_topology_loaded = (
             self.topology_watcher.operator_consumer.is_loaded
             and self.topology_watcher.upstream_consumer.is_loaded
@@ -433,6 +436,7 @@
         self.job_manager.on_job_changed(job)
 
     def _count_executed_request(self, account: AccountId, age: float) -> None:
+        """Counts a request that started ``age`` seconds ago in its usage window."""
         self.presence_publisher.usage_counter.count(account, self.get_wall_time() - age)
 
     def _get_concurrency_limit(self, service: ServiceName) -> int:
@@ -451,7 +455,11 @@
             return None
         return find_key_error(self.configuration, key)
 
-    def _reload(self) -> None:
+    def _check_settings_file(self) -> None:
+        """Logs whether the settings file is valid and differs from the settings in use.
+
+        The process keeps its settings until it is restarted.
+        """
         try:
             settings = read_node_settings()
         except BuckthornstileError as error:
@@ -505,7 +513,9 @@
     async def _wait_until_idle(self, earliest: float, latest: float) -> None:
         """Waits until no request is open and no job runs.
 
-        Returns between the times ``earliest`` and ``latest``, in seconds of ``clock``.
+        Args:
+            earliest: The clock reading before which the wait does not end.
+            latest: The clock reading at which the wait ends in any case.
         """
         while self.clock() < latest:
             open_count = sum(listener.open_request_count for listener in self.listeners)
--- a/buckthornstile/entry/_http_listener.py
+++ b/buckthornstile/entry/_http_listener.py
@@ -25,7 +25,7 @@
 from buckthornstile.messages import Headers, Response, StreamingResponse
 
 MAX_HEADER_BYTES = 64 << 10
-"""A longer request head is not read to its end, so no response could be sent."""
+"""Size above which a request head is not read to its end and gets no response."""
 MAX_BODY_BYTES = 64 << 20
 LISTEN_BACKLOG = 1024
 """Number of connections that may wait to be accepted."""
@@ -100,7 +100,7 @@
         return int(sockets[0].getsockname()[1])
 
     def start_draining(self) -> None:
-        """Sends ``Connection: close`` with each further response, then closes."""
+        """Closes each connection after its next response (``Connection: close``)."""
         self.is_draining = True
         self._server.conn_params.no_keep_alive = True
 
@@ -195,13 +195,13 @@
             return
         self.task = asyncio.create_task(self._serve())
         self.task.add_done_callback(lambda _: self.listener.on_request_finished(self))
-        self.connection.set_close_callback(self._on_client_left)  # type: ignore[attr-defined]
+        self.connection.set_close_callback(self._on_client_disconnected)  # type: ignore[attr-defined]
 
     def on_connection_close(self) -> None:
         self.body.clear()
         self.listener.on_request_finished(self)
 
-    def _on_client_left(self) -> None:
+    def _on_client_disconnected(self) -> None:
         if self.task is not None:
             self.task.cancel()
 
--- a/buckthornstile/entry/_presence_publisher.py
+++ b/buckthornstile/entry/_presence_publisher.py
@@ -30,7 +30,7 @@
 """Seconds; short enough for a second attempt, on another path to the store, before
 other entries consider this process gone."""
 RETRY_DELAY = 0.2
-"""Seconds between a failed append and the next record."""
+"""Seconds between a failed append and the next attempt, which has a new record."""
 
 
 class PresencePublisher:
@@ -40,7 +40,8 @@
         name: Name of this process.
         settings: Settings of this process.
         store: Client of the store.
-        view: Receives the model versions that other entries saw engines load.
+        view: The topology view, which receives the model versions that engines have
+            loaded according to other entries.
         clock: Returns the time in seconds; it must advance while the machine is
             suspended.
         wall_clock: Returns seconds since the epoch.
--- a/buckthornstile/entry/tests/in_process.py
+++ b/buckthornstile/entry/tests/in_process.py
@@ -1,4 +1,4 @@
-"""A deployment in one event loop: stand-ins of store and workers, and real entries."""
+"""A deployment in one event loop: a stand-in store, stand-in workers, real entries."""
 
 import asyncio
 import errno
@@ -39,7 +39,7 @@
 
 
 class InProcessWorker:
-    """A stand-in of a worker, with its registration in the store."""
+    """A stand-in worker, with its registration in the store."""
 
     def __init__(
         self, deployment: "InProcessDeployment", name: str, service: str, **state: Any
@@ -89,7 +89,12 @@
         self.deployment.put_record("keyed.servers", self.name, b"")
 
     def list_runs(self, finished: bool | None = None) -> list[dict[str, Any]]:
-        """Returns the runs in the worker's journal, all or by whether they finished."""
+        """Returns the runs in the worker's journal.
+
+        Args:
+            finished: Whether to return the finished or the unfinished runs, or None
+                for all runs.
+        """
         entries = self.application.journal.entries  # type: ignore[attr-defined]
         runs = [entry for entry in entries if entry["what"] == "run"]
         if finished is None:
@@ -404,7 +409,7 @@
 def make_job(
     items: int = 3, *, prefix: str = "i", minimum_version: int = 0, scored: bool = True
 ) -> dict[str, Any]:
-    """Returns the JSON body of a batch job, as objects."""
+    """Returns the body of a batch job, before it is encoded as JSON."""
     return {
         "step": 1,
         "model": MODEL_NAME,
@@ -437,12 +442,12 @@
 
 
 def make_expected_text(item: str, events: int = 4) -> str:
-    """Returns the text that a stand-in of a worker generates for an item."""
+    """Returns the text that a stand-in worker generates for an item."""
     return "\n".join(f"{item}-{number}" for number in range(1, events + 1))
 
 
 def encode_length_prefixed(data: bytes) -> bytes:
-    """Returns a record in the wire format, with its length in front."""
+    """Returns a record in the wire format, which starts with its length."""
     return struct.pack(">I", len(data)) + data
 
 
--- a/buckthornstile/entry/tests/test_calls.py
+++ b/buckthornstile/entry/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls through a whole entry: forwarding, rejections, failing workers, limits."""
+"""Calls through an entry: forwarding, rejections, failing workers, limits."""
 
 import asyncio
 import json
@@ -38,7 +38,7 @@
 
 
 @with_deployment
-async def test_failed_check_before_send_prevents_the_send(
+async def test_call_is_not_sent_if_its_check_before_send_fails(
     deployment: InProcessDeployment,
 ) -> None:
     """A process that was paused during a call may hold an old configuration.
@@ -80,7 +80,7 @@
 
 
 @with_deployment
-async def test_rejected_requests_get_the_matching_status(
+async def test_rejected_request_has_the_status_of_its_error(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
@@ -114,7 +114,7 @@
 @pytest.mark.parametrize(
     "kind", ["full", "error", "reset", "truncate", "crossed", "unsigned"]
 )
-def test_repeatable_call_succeeds_despite_failing_workers(kind: str) -> None:
+def test_idempotent_call_succeeds_despite_failing_workers(kind: str) -> None:
     @with_deployment
     async def test(deployment: InProcessDeployment) -> None:
         for name in ("w1", "w2"):
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("kind", ["reset", "truncate"])
-def test_call_at_most_once_is_not_repeated(kind: str) -> None:
+def test_at_most_once_call_is_not_retried_after_a_broken_response(kind: str) -> None:
     @with_deployment
     async def test(deployment: InProcessDeployment) -> None:
         for name in ("w1", "w2"):
@@ -164,7 +164,7 @@
 
 
 @with_deployment
-async def test_call_at_most_once_is_retried_after_a_rejection(
+async def test_at_most_once_call_is_retried_after_a_rejection(
     deployment: InProcessDeployment,
 ) -> None:
     for name in ("w1", "w2"):
--- a/buckthornstile/entry/tests/test_configuration.py
+++ b/buckthornstile/entry/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration, keys, worker registrations and usage in a whole entry."""
+"""Configuration, keys, worker registrations and usage in a complete entry."""
 
 import asyncio
 import json
@@ -74,7 +74,7 @@
 
 
 @with_deployment
-async def test_worker_removed_during_a_store_outage_is_kept_for_a_while(
+async def test_worker_removed_during_a_store_outage_is_dropped_after_a_delay(
     deployment: InProcessDeployment,
 ) -> None:
     worker = deployment.add_worker("w1", PLAIN_SERVICE)
@@ -135,8 +135,9 @@
 ) -> None:
     """A window sealed too early would miss the counts of an entry.
 
-    After a store outage one entry may read again seconds before another appends: the
-    other one is then not live, but its counts are still pending.
+    After a store outage, one entry may read from the store some seconds before another
+    entry can append to it. The other entry is then not live, but its counts are still
+    pending.
     """
     entry = await deployment.add_entry("e1")
     presence, usage_reporter = entry.presence, entry.lease_holder_tasks.usage_reporter
--- a/buckthornstile/entry/tests/test_in_process.py
+++ b/buckthornstile/entry/tests/test_in_process.py
@@ -1,4 +1,4 @@
-"""Start of an entry in the in-process deployment while one of its ports is taken."""
+"""Start of an entry in the in-process deployment if one of its ports is taken."""
 
 import socket
 
@@ -7,7 +7,7 @@
 
 
 @with_deployment
-async def test_entry_starts_when_a_free_port_was_taken_meanwhile(
+async def test_entry_starts_on_other_ports_if_one_is_taken(
     deployment: InProcessDeployment,
 ) -> None:
     find_free_port = in_process.find_free_port
--- a/buckthornstile/entry/tests/test_load_balancer.py
+++ b/buckthornstile/entry/tests/test_load_balancer.py
@@ -1,4 +1,4 @@
-"""Load balancing between upstreams, and the shared rate limit of a cold one."""
+"""Load balancing between upstreams, and the shared rate limit of cold upstreams."""
 
 import pytest
 
--- a/buckthornstile/entry/tests/test_partition_assignment.py
+++ b/buckthornstile/entry/tests/test_partition_assignment.py
@@ -1,4 +1,4 @@
-"""Partitions that only some entries consume: forwarded requests, owners that die."""
+"""Partitions that only some entries consume: forwarded requests, failed owners."""
 
 import json
 
--- a/buckthornstile/entry/tests/test_stop.py
+++ b/buckthornstile/entry/tests/test_stop.py
@@ -35,7 +35,7 @@
 ) -> None:
     """A request may arrive on an idle connection while the last counts are stored.
 
-    If the entry still read it, the worker would run it and the response be lost.
+    If the entry read it, the worker would run it, but its response would be lost.
     """
     worker = deployment.add_worker("w1", PLAIN_SERVICE, work_seconds=0.2)
     entry = await deployment.add_entry("e1")
@@ -75,7 +75,7 @@
 
 
 @with_deployment
-async def test_connection_accepted_during_the_stop_is_closed_unread(
+async def test_connection_accepted_during_the_stop_is_closed_without_a_read(
     deployment: InProcessDeployment,
 ) -> None:
     """A connection may be accepted just before the idle ones are closed.
--- a/buckthornstile/entry/tests/test_store_proxy.py
+++ b/buckthornstile/entry/tests/test_store_proxy.py
@@ -59,7 +59,7 @@
     await add_entries(deployment)
     entry = deployment.entries["e2"]
     entry.store.address = f"127.0.0.1:{find_free_port()}"
-    # Longer than keys are trusted without a read of the store.
+    # Longer than keys are accepted without a read of the store.
     await asyncio.sleep(entry.settings.key_bound + 0.5)
     assert entry.is_ready()
     assert (await deployment.send_simple_request("e2", "r1")).status == 200
@@ -75,7 +75,11 @@
 def test_proxy_reports_whether_a_failed_append_may_have_taken_effect(
     store_is_silent: bool,
 ) -> None:
-    """An append without a response may have taken effect; one not sent has not."""
+    """Guards against a wrong outcome of an append that failed behind a proxy.
+
+    An append that the store did not respond to may have taken effect; an append that
+    the proxy could not send has not.
+    """
 
     @with_deployment
     async def test(deployment: InProcessDeployment) -> None:
--- a/buckthornstile/entry/tests/test_streams.py
+++ b/buckthornstile/entry/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams of plain routes: forwarded as they arrive, complete or visibly broken."""
+"""Streams of plain routes: forwarded as they arrive; a broken one raises an error."""
 
 import asyncio
 
@@ -81,7 +81,7 @@
 
 
 @with_deployment
-async def test_broken_stream_fails_visibly_and_is_not_run_again(
+async def test_broken_stream_raises_an_error_and_is_not_run_again(
     deployment: InProcessDeployment,
 ) -> None:
     add_route(deployment, resumable=False)
--- a/buckthornstile/entry/tests/test_weights.py
+++ b/buckthornstile/entry/tests/test_weights.py
@@ -56,6 +56,7 @@
         deployment.set_version(2)
         deployment.set_version(3)
         await deployment.wait_for(lambda: model.state.versions[MODEL_NAME] == 3)
+        # Longer than the delay of the late order.
         await asyncio.sleep(1.8)
         assert len(model.list_load_orders()) == 1
 
@@ -63,7 +64,7 @@
 
 
 @with_deployment
-async def test_events_of_older_weights_are_not_accepted(
+async def test_result_of_older_version_than_minimum_is_not_accepted(
     deployment: InProcessDeployment,
 ) -> None:
     deployment.add_worker("w1", PLAIN_SERVICE)
