--- a/buckthornstile/logs/_event_log.py
+++ b/buckthornstile/logs/_event_log.py
@@ -1,4 +1,4 @@
-"""Writes events as JSON lines, at a bounded rate and without blocking."""
+"""Event log that writes JSON lines, at a bounded rate and without blocking."""
 
 import json
 import os
@@ -17,7 +17,7 @@
 MAX_BURST_LINES = 600
 """Number of lines that may be written at once after a quiet period."""
 MAX_VALUE_LENGTH = 200
-"""Number of characters after which a field's text is cut off."""
+"""Number of characters to which a field's text is truncated."""
 MAX_RECENT_EVENTS = 1000
 """Number of latest events that a process keeps in memory for operators' queries."""
 EVENTS_COUNTER = CounterName("events")
@@ -36,7 +36,7 @@
         process: Name of this process, which each line holds.
         descriptor: File descriptor to write to, by default standard output; it is
             set to non-blocking mode.
-        clock: Returns the monotonic time in seconds.
+        clock: Returns the monotonic time in seconds; used for the rate limit.
     """
 
     def __init__(
@@ -84,8 +84,9 @@
             self._count_dropped_line()
             return
         self._tokens -= 1
-        # A line that was written only in part counts as dropped. It has no line break,
-        # so that the next line continues it and cannot be parsed either.
+        # A line that was written only in part is included in the next ``left_out``. It
+        # has no line break, so the next line is appended to it, and neither can be
+        # parsed.
         self.dropped_count = 0 if written == len(line.encode()) else 1
 
     def list_recent(self, subject: str = "") -> list[dict[str, object]]:
@@ -93,12 +94,13 @@
 
         Args:
             subject: A value of one of the event's fields, such as an id, a process or
-                an error code, or a prefix of the event's name; empty for all events.
+                an error code; one item of a comma-separated value; or a prefix of the
+                event's name. Empty for all events.
         """
         return [fields for fields in self._recent if _matches(fields, subject)]
 
     def count_events(self, subject: str = "") -> dict[str, int]:
-        """Returns the number of events of each name that starts with the subject."""
+        """Returns the number of events of each name that starts with ``subject``."""
         counts = self.counters.items().get(EVENTS_COUNTER, {})
         found = {
             dict(labels).get("event", "other"): int(count)
@@ -125,18 +127,21 @@
     """Logs an event.
 
     Args:
-        event: The event's name, with a dot between its parts; names are stable.
-        **fields: The request's id, the inputs of the decision with their age or
-            version, and the outcome; never an API key.
+        event: The event's name, with a dot between its parts. Names of events must not
+            change.
+        **fields: Names and values of the event's fields. The event of a decision has
+            the request's id, the inputs with their age or version, and the outcome. No
+            field may hold an API key.
 
     Example:
         >>> log_event("route.refused", request="9c41", reason="no upstream")
     """
-    truncated = {name: _truncate(value) for name, value in fields.items()}
-    _LOGGER.debug("", extra={"event": event, "event_fields": truncated})
+    limited = {name: _limit_value(value) for name, value in fields.items()}
+    _LOGGER.debug("", extra={"event": event, "event_fields": limited})
 
 
-def _truncate(value: object) -> object:
+def _limit_value(value: object) -> object:
+    """Rounds a float to 4 decimals, and converts all but numbers to a limited text."""
     if isinstance(value, int | float | bool) or value is None:
         return round(value, 4) if isinstance(value, float) else value
     return str(value)[:MAX_VALUE_LENGTH]
--- a/buckthornstile/logs/tests/test_event_log.py
+++ b/buckthornstile/logs/tests/test_event_log.py
@@ -26,7 +26,7 @@
             return [json.loads(line) for line in data.splitlines()]
 
 
-def test_line_holds_event_fields(pipe) -> None:
+def test_line_holds_event_fields_with_rounded_floats(pipe) -> None:
     read_end, write_end = pipe
     with EventLogHandler("e1", descriptor=write_end).applicationbound():
         log_event("call.answered", request="r1", seconds=0.123456789, other=None)
--- a/buckthornstile/metrics/_histograms.py
+++ b/buckthornstile/metrics/_histograms.py
@@ -10,10 +10,10 @@
 from buckthornstile.base import AccountId, RequestClass
 
 OVERFLOW_ACCOUNT = AccountId("other")
-"""Label under which all client accounts beyond the maximum number are combined."""
+"""Label value that combines all client accounts beyond the maximum number."""
 
 MAX_ACCOUNTS = 64
-"""Number of client accounts that have histograms of their own."""
+"""Maximum number of client accounts that have histograms of their own."""
 SIGNIFICANT_DIGITS = 2
 """Number of significant decimal digits to which histograms are exact."""
 BUCKET_COUNT_BYTES = 4
@@ -71,7 +71,9 @@
         return int(self._histogram.get_total_count())
 
     def record(self, value: float) -> None:
-        """Records a value; a negative one counts as 0, one too large as the maximum.
+        """Records a value, after limiting it to the range from 0 to the maximum.
+
+        NaN is recorded as 0.
 
         Example:
             >>> Histogram(steps_per_unit=1).record(2)
@@ -125,8 +127,8 @@
     """Histograms of each metric, by client account and by request class.
 
     Args:
-        max_accounts: Number of client accounts with histograms of their own; the others
-            are combined under ``OVERFLOW_ACCOUNT``.
+        max_accounts: Maximum number of client accounts with histograms of their own;
+            the others are combined under ``OVERFLOW_ACCOUNT``.
 
     Example:
         >>> histograms = Histograms()
--- a/buckthornstile/metrics/_series.py
+++ b/buckthornstile/metrics/_series.py
@@ -4,7 +4,7 @@
 from typing import NewType
 
 CounterName = NewType("CounterName", str)
-"""Name of a counter, in lower case with underscores and without a unit suffix."""
+"""Name of a counter, in lower case with underscores; its exposition adds ``_total``."""
 
 GaugeName = NewType("GaugeName", str)
 """Name of a gauge, in lower case with underscores."""
@@ -13,16 +13,21 @@
 """Names and values of a series' labels, sorted by name."""
 
 MAX_SERIES_PER_NAME = 256
+"""Number of series per name, without the one with ``OVERFLOW_LABELS``."""
 OVERFLOW_LABELS: Labels = (("series", "other"),)
 """Labels of the series that combines all series beyond the maximum number."""
 NAME_PATTERN = re.compile(r"[a-z][a-z0-9_]{0,79}")
 
 
 class _SeriesTable:
+    """Values by name and labels, with a bounded number of series per name."""
+
     def __init__(self) -> None:
         self._series: dict[str, dict[Labels, float]] = {}
 
-    def _get_or_create(self, name: str, labels: dict[str, str]) -> dict[Labels, float]:
+    def _get_or_create_series(
+        self, name: str, labels: dict[str, str]
+    ) -> dict[Labels, float]:
         by_labels = self._series.get(name)
         if by_labels is None:
             for text in (name, *labels):
@@ -35,7 +40,7 @@
         return by_labels
 
     def _limit_series(self, by_labels: dict[Labels, float], labels: Labels) -> Labels:
-        # Clients may determine label values, so that their number must be bounded.
+        # Clients may determine label values, so their number must be bounded.
         if labels in by_labels or len(by_labels) < MAX_SERIES_PER_NAME:
             return labels
         return OVERFLOW_LABELS
@@ -64,17 +69,18 @@
             **labels: Label names and values.
 
         Raises:
-            ValueError: The counter's name or a label's name is malformed.
+            ValueError: The counter's name or a label's name is malformed; checked only
+                when a name is used first.
 
         Example:
             >>> Counters().increment(CounterName("heartbeats"))
         """
-        by_labels = self._get_or_create(name, labels)
+        by_labels = self._get_or_create_series(name, labels)
         key = self._limit_series(by_labels, tuple(sorted(labels.items())))
         by_labels[key] = by_labels.get(key, 0) + amount
 
     def get(self, name: CounterName, **labels: str) -> float:
-        """Returns a counter's value, or 0 if it was never incremented.
+        """Returns a counter's value, or 0 if it has no series with these labels.
 
         Example:
             >>> Counters().get(CounterName("heartbeats"))
@@ -110,10 +116,14 @@
             value: Its new value.
             **labels: Label names and values.
 
+        Raises:
+            ValueError: The gauge's name or a label's name is malformed; checked only
+                when a name is used first.
+
         Example:
             >>> Gauges().set(GaugeName("limit"), 4.0, upstream="engine-1")
         """
-        by_labels = self._get_or_create(name, labels)
+        by_labels = self._get_or_create_series(name, labels)
         by_labels[self._limit_series(by_labels, tuple(sorted(labels.items())))] = value
 
     def remove(self, name: GaugeName, **labels: str) -> None:
--- a/buckthornstile/metrics/tests/test_metrics.py
+++ b/buckthornstile/metrics/tests/test_metrics.py
@@ -44,7 +44,7 @@
     assert len(counters.items()["refusals"]) == 257
 
 
-def test_quantiles_are_exact_to_two_digits():
+def test_quantiles_are_exact_to_two_digits_and_values_are_limited():
     histograms = Histograms()
     for milliseconds in range(1, 1001):
         histograms.record(
--- a/buckthornstile/platform/_duties.py
+++ b/buckthornstile/platform/_duties.py
@@ -1,4 +1,4 @@
-"""Requests to the platform that only the holder of a duty may send."""
+"""Client for the reports that only the holder of a duty may send to the platform."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
     """Sends reports to the platform on behalf of a duty's holder.
 
     Args:
-        address: Address at which the platform accepts them, as ``IP:port``.
+        address: Address at which the platform accepts reports, as ``IP:port``.
 
     Example:
         >>> DutyClient("127.0.0.1:1").address
@@ -39,7 +39,7 @@
             window: Number of the usage window.
             counts: Number of requests of each client account.
             holder: The duty's holder.
-            term: The holder's term, by which the platform refuses earlier holders.
+            term: The holder's term; the platform refuses reports of earlier terms.
             timeout: Seconds to wait for the response.
 
         Raises:
--- a/buckthornstile/platform/_jobs.py
+++ b/buckthornstile/platform/_jobs.py
@@ -22,8 +22,8 @@
 
 MAX_ID_LENGTH = 64
 MAX_RESULT_BYTES = 1_000_000
-"""Maximum size of the results in one response, in bytes. A single result may exceed it,
-and is then sent alone."""
+"""Maximum size of the results in one response, in bytes. A larger result is sent
+alone."""
 UNFORWARDED_HEADERS = CONNECTION_HEADERS | INTERNAL_HEADERS | {"host", "request-id"}
 
 
@@ -33,7 +33,7 @@
     """Decodes and checks a submitted batch job.
 
     Raises:
-        BuckthornstileError: The job is malformed; the message names the fault.
+        BuckthornstileError: The job is malformed; the message says what is wrong.
     """
     if not _is_valid_id(job_id):
         raise _make_error(
@@ -115,7 +115,7 @@
     encoded: list[dict[str, object]] = []
     remaining_bytes = MAX_RESULT_BYTES
     for result in results[first_index:]:
-        # The other fields of a result are taken to need at most 300 bytes.
+        # 300 bytes are allowed for the other fields of a result.
         remaining_bytes -= len(result.text.encode()) + 300
         if encoded and remaining_bytes < 0:
             break
--- a/buckthornstile/platform/_node_settings.py
+++ b/buckthornstile/platform/_node_settings.py
@@ -1,4 +1,4 @@
-"""Reads the settings file that the platform writes for each process."""
+"""Reading of the settings file that the platform writes for each process."""
 
 import json
 import os
@@ -41,15 +41,15 @@
 def decode_node_settings(data: dict[str, Any]) -> EntrySettings:
     """Translates the file's content to settings; unknown fields are ignored.
 
-    The first internal port serves metrics. The second accepts the requests that other
-    entries forward.
+    The first port of the internal range serves metrics. The port after it accepts the
+    requests that other entries forward.
     """
     bounds = data.get("bounds") or {}
     listen = data.get("listen") or {}
     store = data["platform"]
     cloud = data.get("cloud") or {}
     host = data.get("ip", "127.0.0.1")
-    # The first and the last port of a range.
+    # The first and the last port of the internal range.
     ports = data.get("internalPorts") or [0]
     return load_settings(
         EntrySettings,
--- a/buckthornstile/platform/_protocol_names.py
+++ b/buckthornstile/platform/_protocol_names.py
@@ -27,7 +27,7 @@
 DUTY_HOLDER_HEADER = "Duty-Holder"
 DUTY_TERM_HEADER = "Fencing-Token"
 
-# Lower-case names of the headers that concern one connection and are not forwarded
+# Lower-case names of the headers that apply to one connection and are not forwarded
 CONNECTION_HEADERS = frozenset(
     {
         "connection",
@@ -41,8 +41,8 @@
         "expect",
     }
 )
-# Lower-case names of the headers that the system interprets and sets itself; values
-# from clients are not forwarded to upstreams
+# Lower-case names of the headers that the system interprets; the values that clients
+# send are not forwarded to upstreams, and the system sets its own where it needs them
 INTERNAL_HEADERS = frozenset(
     name.lower()
     for name in (
@@ -66,8 +66,9 @@
 JOB_TOPIC = "keyed.jobs"
 CONFIGURATION_TOPIC = "keyed.configuration"
 TRAINER_VERSION_TOPIC = "keyed.versions"
-"""A topic of this project. The ``keyed.`` prefix makes the store retain the latest
-record of each key."""
+"""Topic of the weight versions that trainers publish through the API. It is this
+project's own, not the platform's; its ``keyed.`` prefix makes the store retain the
+latest record of each key."""
 CONFIGURATION_KEY = "config"
 EVACUATION_PREFIX = "evacuate/"
 VERSION_PREFIX = "version/"
--- a/buckthornstile/platform/_requests.py
+++ b/buckthornstile/platform/_requests.py
@@ -35,7 +35,7 @@
 
 
 def parse_path(path: str) -> tuple[ResourceKind, str]:
-    """Returns the kind of resource that a path names, and its id or an empty text."""
+    """Returns the kind of resource that a path names, and its id or an empty string."""
     if path == READY_PATH:
         return ResourceKind.READY, ""
     if path.startswith(JOB_PATH):
@@ -48,7 +48,7 @@
 def decode_request(
     method: str, target: str, headers: HTTPHeaders, body: bytes
 ) -> ClientRequest:
-    """Decodes a client's request; drops the headers that the system sets itself."""
+    """Decodes a client's request, without the headers that are not forwarded."""
     connection_options = {
         name.strip().lower() for name in headers.get("Connection", "").split(",")
     }
@@ -98,7 +98,7 @@
 def encode_response(
     request: ClientRequest, response: Response | StreamingResponse
 ) -> Headers:
-    """Returns a response's headers, without those that apply to the connection."""
+    """Returns a response's headers, with the request's id and the retry delay."""
     headers = list(response.headers)
     names = {name.lower() for name, _ in headers}
     if request.id and REQUEST_ID_HEADER.lower() not in names:
--- a/buckthornstile/platform/_store.py
+++ b/buckthornstile/platform/_store.py
@@ -26,11 +26,11 @@
 CALL_TIMEOUT = 1.0
 """Timeout in seconds of a call that the store does not hold as a long poll."""
 MAX_READ_KILOBYTES = 1024
-"""Upper bound, in kilobytes, that a read names for its response."""
+"""Maximum size of the response that a read requests, in kilobytes."""
 PROBE_TIMEOUT = 0.5
 """Timeout in seconds of a call that only tests whether the store is reachable."""
 UNAVAILABLE_STATUSES = (429, 503, 507)
-"""Statuses with which the store refuses a call that then has no effect."""
+"""Statuses with which the store refuses a call; a refused call has no effect."""
 UNREACHABLE_STATUSES = (429, 502, 503)
 """Statuses that show that the store cannot be reached on this path at present. Status
 502 comes from a proxy that forwarded the call and got no response."""
@@ -94,7 +94,7 @@
     """A condition of an append did not hold, and no record was appended.
 
     Args:
-        reason: ``end`` if the partition ends elsewhere, ``fenced`` if the producer's
+        reason: ``end`` if the end offset is another one, ``fenced`` if the producer's
             epoch is too old, ``sequence`` if its sequence number is not the next one.
         expected: The end offset or the sequence number that the store expects, or -1.
     """
@@ -238,8 +238,9 @@
             topic: The topic.
             part: Number of the partition.
             start_offset: Offset of the first record to read.
-            wait: Seconds for which the store holds the call until there is a record.
-            timeout: Seconds to wait for the response in addition to ``wait``.
+            wait: Maximum seconds for which the store holds the call until a record is
+                appended.
+            timeout: Seconds to wait for the response, in addition to ``wait``.
 
         Raises:
             OffsetOutOfRangeError: The offset is older than the retained records.
--- a/buckthornstile/platform/_store_records.py
+++ b/buckthornstile/platform/_store_records.py
@@ -100,7 +100,7 @@
 
 
 def decode_named_version(value: bytes) -> tuple[ModelName, int]:
-    """Decodes the record in which a trainer names the version of a model.
+    """Decodes the record in which a trainer sets the version of a model to load.
 
     Raises:
         ValueError: The record is malformed.
@@ -115,13 +115,13 @@
 def decode_upstream(
     upstream_id: str, value: bytes, services: set[ServiceName] | None = None
 ) -> Upstream:
-    """Decodes an upstream's record about itself.
+    """Decodes the registration record that an upstream writes.
 
     The record's ``sequence`` counts the records that the upstream has written, not the
     orders that it has accepted.
 
     Args:
-        upstream_id: The upstream's id, which only the record's key holds.
+        upstream_id: The upstream's id, which is the record's key and not in its value.
         value: The record.
         services: The configured services, or None if they are not known.
 
--- a/buckthornstile/platform/_upstreams.py
+++ b/buckthornstile/platform/_upstreams.py
@@ -172,7 +172,7 @@
     r"""Parses a stream of events incrementally, as its bytes arrive.
 
     Args:
-        version: Version of the first events, as the response's headers name it.
+        version: Version of the first events, from the response's headers.
 
     Example:
         >>> parser = UpstreamEventParser(3)
@@ -227,7 +227,7 @@
     Args:
         block: The event's bytes, as its upstream sent them.
         version: The version that produced the event, if it differs from that of the
-            event before and the client must learn of it; otherwise None.
+            event before and the client must be notified; otherwise None.
 
     Example:
         >>> encode_event(b"id: 7\ndata: a", 4)
