--- a/buckthornstile/logs/_event_log.py
+++ b/buckthornstile/logs/_event_log.py
@@ -141,7 +141,10 @@
 
 
 def _limit_value(value: object) -> object:
-    """Rounds a float to 4 decimals, and converts all but numbers to a limited text."""
+    """Rounds a float to 4 decimals, and converts other objects to a truncated text.
+
+    Other numbers and None are returned as they are.
+    """
     if isinstance(value, int | float | bool) or value is None:
         return round(value, 4) if isinstance(value, float) else value
     return str(value)[:MAX_VALUE_LENGTH]
