--- a/buckthornstile/client/_caller.py
+++ b/buckthornstile/client/_caller.py
@@ -25,7 +25,7 @@
 MAX_BUFFERED_RESPONSE_BYTES = 64 << 20
 GENERATED_KEY_PREFIX = "auto-"
 """Prefix of generated idempotency keys, which no other process sends again."""
-_ERROR_STATUS = 400
+_MIN_ERROR_STATUS = 400
 _Result = TypeVar("_Result")
 
 
@@ -62,7 +62,7 @@
         entries: URLs of the entries or of their load balancer, with IP addresses.
         key: API key of the client account.
         policy: Number of attempts and delays between them.
-        generator: Source of the jitter.
+        generator: Source of the jitter and of the choice of the first entry.
         ssl_options: TLS options for ``https`` URLs.
 
     Example:
@@ -201,7 +201,7 @@
         chunks = exchange.iterate_chunks()
         try:
             status, headers = await _wait_until(deadline, exchange.read_headers())
-            if status >= _ERROR_STATUS:
+            if status >= _MIN_ERROR_STATUS:
                 body = await _wait_until(deadline, _read_body(exchange, headers))
                 _raise_for_error(status, body)
                 raise make_truncated_error(
@@ -267,7 +267,7 @@
 
 
 def _raise_for_error(status: int, body: bytes) -> None:
-    if status >= _ERROR_STATUS:
+    if status >= _MIN_ERROR_STATUS:
         error = parse_error(body)
         if error is not None:
             raise error
--- a/buckthornstile/client/_event_stream.py
+++ b/buckthornstile/client/_event_stream.py
@@ -14,7 +14,7 @@
 
 
 class EventStreamParser:
-    r"""Parser of an event stream that checks it against its end event.
+    r"""Parses an event stream and checks that it matches its end event.
 
     The entry ends a complete stream with ``event: end``, which holds the length and
     digest of all bytes before it, and a failed stream with ``event: error``.
@@ -100,10 +100,14 @@
         if not line and self._end_matches:
             return
         if self._end_matches or not line.startswith(_DATA):
-            raise make_truncated_error("the stream continues after its final event")
+            raise make_truncated_error(
+                "the stream's final event has no data or is not the last event"
+            )
         payload = line[len(_DATA) :].strip()
         if self._final_event == _ERROR:
-            raise parse_error(payload) or make_truncated_error("the stream failed")
+            raise parse_error(payload) or make_truncated_error(
+                "the stream's error event is malformed"
+            )
         self._check_end(payload)
         self._end_matches = True
 
--- a/buckthornstile/client/_exchange.py
+++ b/buckthornstile/client/_exchange.py
@@ -44,7 +44,7 @@
 
 
 class _ResponseReceiver(httputil.HTTPMessageDelegate):
-    """Buffers a response; while the buffer is full, nothing more is read."""
+    """Buffers a response and stops reading while the buffer is full."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
@@ -146,7 +146,7 @@
 ) -> Exchange:
     """Connects to an entry and sends a request.
 
-    Each exchange has its own connection. A server may close a kept connection
+    Each exchange has its own connection. A server may close a keep-alive connection
     just when a request is sent on it, and then it is unknown whether the request
     has run.
 
--- a/buckthornstile/client/_retry.py
+++ b/buckthornstile/client/_retry.py
@@ -151,7 +151,7 @@
         return delay if now + delay < self.deadline else None
 
     def make_final_error(self, error: BuckthornstileError) -> BuckthornstileError:
-        """Creates the error of the call: the last one, with the most severe verdict.
+        """Creates the call's error: the last one, with the most severe verdict.
 
         Args:
             error: Error of the last attempt.
--- a/buckthornstile/client/_session.py
+++ b/buckthornstile/client/_session.py
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionPolicy:
-    """Timeout and delays with which a trainer attaches to its lot.
+    """Timeout and delays of the attaches of a trainer to its lot.
 
     Args:
         silence_timeout: Seconds without a line on the stream after which the trainer
             attaches through another entry.
-        first_delay: Seconds before the next attach when the last one brought no
-            new sample; the delay doubles with each further one.
+        first_delay: Seconds before the next attach after an attach that brought no
+            new sample; the delay doubles with each further such attach.
         maximum_delay: Upper bound of the delay, in seconds.
 
     Example:
@@ -66,7 +66,7 @@
 
 
 class LotSession:
-    """State of one lot in its trainer, which may attach through any entry.
+    """State of one lot in its trainer, over attaches through any of the entries.
 
     Args:
         received: Receiver of the lot's samples.
@@ -154,7 +154,7 @@
             error: Error of the entry or the connection, if there is one.
 
         Raises:
-            BuckthornstileError: That error, if every entry would return it.
+            BuckthornstileError: ``error``, if every entry would return it.
         """
         if error is not None and error.code in NON_RETRYABLE_CODES:
             raise error
--- a/buckthornstile/client/_trainer.py
+++ b/buckthornstile/client/_trainer.py
@@ -32,7 +32,7 @@
 )
 
 _POST_TIMEOUT_S = 2.0
-_ERROR_STATUS = 400
+_MIN_ERROR_STATUS = 400
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
         entries: URLs of the entries or of their load balancer, with IP addresses.
         key: API key of the client account.
         trainer: Id of the trainer.
-        policy: Timeout and delays with which lots are attached to.
+        policy: Timeout and delays of the attaches to lots.
         ssl_options: TLS options for ``https`` URLs.
 
     Example:
@@ -197,7 +197,7 @@
         try:
             async with asyncio.timeout(self.policy.silence_timeout):
                 status, _ = await exchange.read_headers()
-                if status < _ERROR_STATUS:
+                if status < _MIN_ERROR_STATUS:
                     return exchange
                 chunks = [chunk async for chunk in exchange.iterate_chunks()]
         except TimeoutError as error:
@@ -229,7 +229,7 @@
                 status, _ = await exchange.read_headers()
             finally:
                 exchange.close()
-        if status >= _ERROR_STATUS:
+        if status >= _MIN_ERROR_STATUS:
             raise make_connection_lost_error(f"the entry returned status {status}")
 
     def _start_acknowledging(self, session: LotSession) -> None:
@@ -252,8 +252,7 @@
                 await self._post(session.last_attach_attempt.entry_index, path, value)
                 received.mark_acknowledged(slots)
         except (BuckthornstileError, TimeoutError):
-            # The agents drop unacknowledged samples by age. No sample is delivered
-            # twice.
+            # A lost acknowledgement does no harm: the receiver drops duplicates.
             return
         finally:
             del self._acknowledge_tasks[session]
--- a/buckthornstile/client/tests/caller.feature
+++ b/buckthornstile/client/tests/caller.feature
@@ -26,7 +26,7 @@
     Given an entry that <fault>
     And another entry that returns a complete response
     When a caller makes a streamed call
-    Then the stream yields one event and then <outcome>
+    Then one event arrives and the stream ends with <outcome>
 
     Examples:
       | fault                                   | outcome                                    |
@@ -35,4 +35,4 @@
       | ends the stream with a wrong length     | upstream.answer_truncated and may_have_run |
       | ends the stream with an error           | key.withdrawn and may_have_run             |
       | continues the stream after an end event | upstream.answer_truncated and may_have_run |
-      | ends the stream with an end event       | the end                                    |
+      | ends the stream with an end event       | no error                                   |
--- a/buckthornstile/client/tests/test_caller.py
+++ b/buckthornstile/client/tests/test_caller.py
@@ -104,7 +104,7 @@
             if kind == "a streamed":
                 async for event in client.stream("/v1/x", b"{}"):
                     events.append(event)
-                return events, "the end"
+                return events, "no error"
             response = await client.call(
                 "/v1/x", b"{}", idempotent=kind == "an idempotent", timeout=10
             )
@@ -116,7 +116,7 @@
     return asyncio.run(run_client(faults, use))
 
 
-@then(parsers.parse("the stream yields one event and then {outcome}"))
+@then(parsers.parse("one event arrives and the stream ends with {outcome}"))
 def check_events(result, outcome):
     assert result[0] == ([b"one"], outcome)
     assert len(result[1]) == 1
@@ -141,7 +141,7 @@
     """Shows that only the check of the end event detects a truncated stream."""
     monkeypatch.setattr(EventStreamParser, "finish", lambda self: None)
     result = make_call(["ends the stream without an end event"], "a streamed")
-    assert result[0] == ([b"one"], "the end")
+    assert result[0] == ([b"one"], "no error")
 
 
 def test_call_runs_twice_if_verdict_is_not_checked(monkeypatch):
--- a/buckthornstile/client/tests/test_trainer.py
+++ b/buckthornstile/client/tests/test_trainer.py
@@ -1,4 +1,4 @@
-"""Tests of TrainerClient: every sample is delivered once, whatever entries do."""
+"""Tests that TrainerClient delivers every sample once after faults of entries."""
 
 import asyncio
 import contextlib
