--- a/buckthornstile/commands/_clients.py
+++ b/buckthornstile/commands/_clients.py
@@ -11,6 +11,7 @@
 from buckthornstile.settings import OperatorSettings
 
 FetchJson = Callable[[str, float], Awaitable[dict[str, Any]]]
+"""Fetches a JSON object from a URL, with a timeout in seconds."""
 
 
 def make_store_client(settings: OperatorSettings) -> StoreClient:
@@ -57,6 +58,6 @@
         ) from None
     if not isinstance(data, dict):
         raise BuckthornstileError(
-            ErrorCode.CONNECTION_LOST, f"response of {url} is not a JSON object"
+            ErrorCode.CONNECTION_LOST, f"response from {url} is not a JSON object"
         )
     return data
--- a/buckthornstile/commands/_config.py
+++ b/buckthornstile/commands/_config.py
@@ -151,14 +151,14 @@
 
 
 class SheetChangeBuilder:
-    """Builds the change that applies a sheet, again after each conflict.
+    """Builds the change that applies a sheet, and builds it anew after each conflict.
 
     After a conflict, the plan must still be the same as in the first attempt.
 
     Args:
         sheet: The sheet to apply.
-        allow_removal: Whether a large fraction of the items may be removed, and keys
-            that the sheet does not list are withdrawn.
+        allow_removal: Whether a large fraction of the items may be removed, and whether
+            keys that the sheet does not list are withdrawn.
         operator: Name of the operator who makes the change.
     """
 
--- a/buckthornstile/commands/_context.py
+++ b/buckthornstile/commands/_context.py
@@ -124,12 +124,14 @@
     data: dict[str, Any] | None = None,
     lines: Sequence[str] = (),
 ) -> None:
-    """Waits until a change is in effect and prints its result.
+    """Waits until a change is in effect, or until a timeout, and prints its result.
+
+    It does not wait if the settings name no entries.
 
     Args:
         context: Context of the command.
         result: Result of submitting the change.
-        description: Description of the change, for people.
+        description: Description of the change, for operators.
         data: Additional fields of the JSON object.
         lines: Additional lines of text, which are printed first.
 
--- a/buckthornstile/commands/_event_search.py
+++ b/buckthornstile/commands/_event_search.py
@@ -9,7 +9,7 @@
 from buckthornstile.base import BuckthornstileError, ErrorCode
 
 ID_FIELDS = ("request", "job", "item", "items", "upstream")
-"""Fields of an event line that hold ids, one or several separated by commas."""
+"""Fields of an event line that hold one id, or several separated by commas."""
 
 CONTEXT_SECONDS = 10.0
 """Time before the first event of an id from which context is shown, in seconds."""
@@ -40,11 +40,11 @@
 def find_related_events(
     lines: list[dict[str, Any]], subject: str, *, with_context: bool = False
 ) -> list[dict[str, Any]]:
-    """Returns the event lines that have an id, optionally with their context.
+    """Returns the event lines that hold an id, optionally with their context.
 
-    The context is the lines that the same processes logged around that time and that
-    have no id of a request, job or item, such as lines about the store, the lease and
-    the configuration.
+    The context of a process is the lines that it logged from ``CONTEXT_SECONDS`` before
+    its first event of the id to its last, and that have no id of a request, job or
+    item, such as lines about the store, the lease and the configuration.
 
     Example:
         >>> lines = [{"time": "1", "event": "a", "job": "j1", "process": "e1"}]
--- a/buckthornstile/commands/_exit_codes.py
+++ b/buckthornstile/commands/_exit_codes.py
@@ -15,7 +15,7 @@
     - ``PLATFORM_UNAVAILABLE``: The platform or an entry did not respond; a change may
       have taken effect.
     - ``NOT_IN_FORCE``: The change is accepted, but it is not yet in effect on every
-      process that was asked.
+      entry that was queried.
     - ``REFUSED``: The change requires an explicit flag.
     """
 
--- a/buckthornstile/commands/_keys.py
+++ b/buckthornstile/commands/_keys.py
@@ -82,7 +82,7 @@
 
 
 def withdraw_key(name: str, *, json: object = False, **flags: object) -> None:
-    """Withdraws an API key permanently and waits until it is rejected everywhere.
+    """Withdraws an API key permanently and waits until the entries reject it.
 
     Args:
         name: Public id of the key.
@@ -194,8 +194,10 @@
     asyncio.run(run())
 
 
-def _check_same_account(current: AccountId, wanted: AccountId, withdrawn: bool) -> None:
-    if current != wanted or withdrawn:
+def _check_same_account(
+    current: AccountId, requested: AccountId, withdrawn: bool
+) -> None:
+    if current != requested or withdrawn:
         state = "is withdrawn" if withdrawn else f"belongs to account {current}"
         raise BuckthornstileError(
             ErrorCode.CONFIGURATION_INVALID,
--- a/buckthornstile/commands/_main.py
+++ b/buckthornstile/commands/_main.py
@@ -148,7 +148,7 @@
 
 
 def _prepare_arguments(arguments: Sequence[str]) -> list[str]:
-    """Prepares arguments for fire and rejects its own separators."""
+    """Prepares arguments for fire and rejects the separators of fire."""
     prepared = []
     for argument in arguments:
         if argument in ("-", "--"):
--- a/buckthornstile/commands/_propagation.py
+++ b/buckthornstile/commands/_propagation.py
@@ -22,8 +22,8 @@
     """The result of waiting until a change is in effect.
 
     Args:
-        asked: Number of entries that were asked.
-        behind: Processes on which the change is not yet in effect, or that did not
+        asked: Number of entries that were queried.
+        behind: Entries on which the change is not yet in effect, or that did not
             respond.
         waited: Time that was spent waiting, in seconds.
     """
@@ -53,8 +53,8 @@
         sleep: Waits for the given number of seconds.
 
     Returns:
-        The entries that were asked and the processes on which the change is not yet
-        in effect.
+        The number of queried entries, and those on which the change is not yet in
+        effect.
     """
     started_at = clock()
     behind: tuple[str, ...] = tuple(entries)
@@ -73,14 +73,14 @@
     try:
         status = await fetch(f"{url}/v1/status", STATUS_TIMEOUT_S)
     except BuckthornstileError:
-        return [f"{url} (no answer)"]
-    return find_outdated_processes(url, status, result)
+        return [f"{url} (no response)"]
+    return list_outdated_entries(url, status, result)
 
 
-def find_outdated_processes(
+def list_outdated_entries(
     url: str, status: dict[str, Any], result: SubmitResult
 ) -> list[str]:
-    """Returns the processes whose status shows that a change is not yet in effect.
+    """Returns an entry's URL if its status shows that a change is not yet in effect.
 
     Args:
         url: Base URL of the entry.
@@ -93,7 +93,7 @@
     Example:
         >>> result = SubmitResult(2, 7, True)
         >>> status = {"configuration": {"revision": 2}}
-        >>> find_outdated_processes("http://127.0.0.1:1", status, result)
+        >>> list_outdated_entries("http://127.0.0.1:1", status, result)
         []
     """
     configuration = status.get("configuration")
--- a/buckthornstile/commands/tests/change.feature
+++ b/buckthornstile/commands/tests/change.feature
@@ -1,7 +1,7 @@
 Feature: A command reports a change as accepted only after reading it back from the store
 
-  Scenario Outline: A change is applied at most once when the store fails or another operator is first
-    Given failure domain "bench-a" is in service
+  Scenario Outline: A change is applied at most once when the store fails or another operator's change is accepted first
+    Given a configuration in which failure domain "bench-a" is not drained
     And the store <fault>
     When an operator drains failure domain "bench-a"
     Then the command exits with <exit code>
@@ -28,6 +28,6 @@
     Then the command exits with <exit code>
 
     Examples:
-      | change                             | exit code |
-      | drains a failure domain            | OK        |
-      | changes what the sheet would do    | CONFLICT  |
+      | change                                         | exit code |
+      | drains a failure domain                        | OK        |
+      | creates an account that the sheet also creates | CONFLICT  |
--- a/buckthornstile/commands/tests/fake_store.py
+++ b/buckthornstile/commands/tests/fake_store.py
@@ -17,7 +17,19 @@
 
 
 class FaultyMemoryStore:
-    """Has the methods of the store client; appends and reads fail as tests set them."""
+    """Has the methods of the store client; appends and reads fail as tests set them.
+
+    Attributes:
+        partitions: Partition 0 of each topic, by topic.
+        append_faults: Faults of the next appends: ``refused`` (no effect, and the error
+            says so), ``lost before`` (timeout without effect), ``lost after`` (timeout
+            after the effect), ``late`` (timeout before the effect) or None.
+        reads_before_outage: Number of reads that succeed before all others fail; None
+            for no outage.
+        appends_before_outage: If not None, the first append starts an outage of reads.
+        delayed_appends: Appends with the fault ``late`` that have not taken effect.
+        before_append_hooks: Functions to call before the next appends, one each.
+    """
 
     def __init__(self):
         self.partitions = {}
--- a/buckthornstile/commands/tests/test_change.py
+++ b/buckthornstile/commands/tests/test_change.py
@@ -37,7 +37,7 @@
     return context
 
 
-@given('failure domain "bench-a" is in service')
+@given('a configuration in which failure domain "bench-a" is not drained')
 def _(context):
     context.append_concurrent_change(Account(name="mill-7"))
 
--- a/buckthornstile/commands/tests/test_event_search.py
+++ b/buckthornstile/commands/tests/test_event_search.py
@@ -14,7 +14,7 @@
         "event": "call.attempt_failed",
         "request": "r1",
         "upstream": "w1",
-        "reason": "the answer ended early",
+        "reason": "the response ended early",
     },
     {
         "time": "11.2",
