--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -218,7 +218,7 @@
 
     def append_records(self, topic: str, records: Iterable[bytes]) -> None:
         """Appends records to partition 0 of a topic of the store."""
-        body = b"".join(struct.pack(">I", len(one)) + one for one in records)
+        body = b"".join(struct.pack(">I", len(record)) + record for record in records)
         url = f"{self.store.url}/-/log-append?topic={topic}&part=0"
         request = Request(url, data=body, method="POST")
         with build_opener(ProxyHandler({})).open(
@@ -286,7 +286,7 @@
     def _is_ready(self, name: str, revision: int) -> bool:
         status = self.read_status(name)
         known = {upstream["upstream"] for upstream in status["upstreams"]}
-        running = {name for name, one in self.workers.items() if one.is_running}
+        running = {name for name, worker in self.workers.items() if worker.is_running}
         entries = sum(entry.is_running for entry in self.entries.values())
         return (
             status["ready"]
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -13,8 +13,8 @@
         kind: Kind of the fault; each stand-in documents its kinds.
         target: Interface that the fault affects, or empty for all.
         seconds: Duration in seconds, for slow, late or missing responses.
-        value: A number, for the kinds that need one.
-        count: Number of remaining occurrences, or None for no limit.
+        value: Number whose meaning depends on the kind, such as a count of events.
+        count: Number of times that the fault still occurs, or None for no limit.
     """
 
     kind: str
@@ -61,7 +61,7 @@
         self._faults = [f for f in self._faults if kind and f.kind != kind]
 
     def consume(self, kind: str, target: str = "") -> Fault | None:
-        """Returns an enabled fault, if any, and uses up one of its occurrences."""
+        """Returns an enabled fault and counts one occurrence, or returns None."""
         for fault in self._faults:
             if fault.kind != kind or fault.target not in ("", target):
                 continue
--- a/standins/process.py
+++ b/standins/process.py
@@ -24,7 +24,7 @@
 
     Args:
         name: Name of the process, used in its log file's name and in errors.
-        process: The process itself.
+        process: The process, as Popen returned it.
         startup_info: The JSON object that the process printed when it was ready.
         log_path: File that receives its standard error.
         address: IP address that it listens on.
@@ -131,7 +131,7 @@
         """Returns the records of an entry's event log, optionally of one event."""
         lines = self.output_path.read_text(errors="replace").splitlines()
         records = [json.loads(line) for line in lines if line.startswith("{")]
-        return [one for one in records if event_name in ("", one.get("event"))]
+        return [record for record in records if event_name in ("", record.get("event"))]
 
 
 class ProcessManager:
--- a/standins/store/_topics.py
+++ b/standins/store/_topics.py
@@ -136,7 +136,9 @@
     def read(self, start: int) -> tuple[int, bytes]:
         """Returns the number of records from an offset on, and the encoded records."""
         selected = [record for _, record in self.records[start - self.first :]]
-        encoded = b"".join(LENGTH_PREFIX.pack(len(one)) + one for one in selected)
+        encoded = b"".join(
+            LENGTH_PREFIX.pack(len(record)) + record for record in selected
+        )
         return len(selected), encoded
 
     def drop_history(self, before_offset: int | None = None) -> None:
--- a/standins/tcp_proxy.py
+++ b/standins/tcp_proxy.py
@@ -71,7 +71,7 @@
         return f"http://{self.address}:{self.port}"
 
     def disconnect(self) -> None:
-        """Aborts all connections, and from now on each new one when it opens."""
+        """Aborts all connections, and each new one until restore() is called."""
         self._run(self._abort_connections())
 
     def restore(self) -> None:
@@ -81,12 +81,15 @@
         self.blocked_directions = frozenset()
 
     def reset_connections(self) -> None:
-        """Aborts the open connections; new ones are accepted."""
+        """Aborts the open connections; also undoes disconnect() for new ones."""
         self._run(self._abort_connections())
         self._is_open = True
 
     def disconnect_after(self, byte_count: int, direction: str) -> None:
-        """Closes one connection after a number of further bytes in a direction."""
+        """Closes the connection on which a number of further bytes in a direction ends.
+
+        The bytes of all connections are counted together.
+        """
         self._bytes_until_disconnect[direction] = byte_count
 
     def _run(self, coroutine):  # type: ignore[no-untyped-def]
@@ -134,8 +137,8 @@
             return
         finally:
             self._writers -= writers
-            for one in writers:
-                one.transport.abort()
+            for open_writer in writers:
+                open_writer.transport.abort()
 
     async def _forward(
         self,
--- a/standins/tests/test_standins.py
+++ b/standins/tests/test_standins.py
@@ -136,7 +136,7 @@
 
 
 def encode_records(*records):
-    return b"".join(struct.pack(">I", len(one)) + one for one in records)
+    return b"".join(struct.pack(">I", len(record)) + record for record in records)
 
 
 def test_append_takes_effect_if_its_response_is_lost_but_not_if_it_is_refused():
--- a/standins/worker/_application.py
+++ b/standins/worker/_application.py
@@ -91,7 +91,7 @@
 
 
 class RequestRunHandler(WorkerHandler):
-    """Routes of any other path: runs a request, as a service or as a model engine."""
+    """Route of all other paths: runs a request, as a service or as a model engine."""
 
     async def prepare(self) -> None:
         """Sets the request id and rejects requests that this worker must not run."""
