--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -2,9 +2,9 @@
 
 ``make experiment`` runs ``benchmarks/days/two-faults.toml``; ``DAY=FILE`` names
 another scenario file. Load, faults and checks are those of the soak tests. The tool
-prints the served, late, refused and failed calls of each kind as a table, and these
-with the counts of samples, lots, weight loads and store requests as a line of JSON. It
-also plots the calls served in each second.
+prints a table of the served, late, refused and failed calls of each kind. It then
+prints a line of JSON, which has the same numbers and the counts of samples, lots,
+weight loads and store requests. It also plots the calls served in each second.
 """
 
 import argparse
@@ -34,7 +34,7 @@
     """A scenario of the experiment tool.
 
     Args:
-        plan: Size of the deployment, and faults.
+        plan: Size of the deployment, and the faults to inject.
         duration: Duration in seconds.
     """
 
--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -47,7 +47,7 @@
     return getattr(importlib.import_module(module), member)
 
 
-def run_machine_seed(name: str, seed: int, options: FuzzOptions) -> bool:
+def run_with_seed(name: str, seed: int, options: FuzzOptions) -> bool:
     """Runs a state machine with one seed, and prints the failure if there is one.
 
     Args:
@@ -82,14 +82,14 @@
 
 
 def fuzz_state_machine(name: str, first_seed: int, options: FuzzOptions) -> bool:
-    """Runs a state machine with consecutive seeds until its time is over.
+    """Runs a state machine with consecutive seeds for the time in the options.
 
     Returns:
         Whether every invariant held.
     """
     started = time.monotonic()
     seed = first_seed
-    while run_machine_seed(name, seed, options):
+    while run_with_seed(name, seed, options):
         seed += 1
         if time.monotonic() - started >= options.seconds:
             runs = (seed - first_seed) * options.examples
--- a/benchmarks/tests/test_walks.py
+++ b/benchmarks/tests/test_walks.py
@@ -79,7 +79,7 @@
 
 def test_batches_alternate_between_machines_with_consecutive_seeds() -> None:
     batches = make_batches(["a", "b"], 7, 50_000)
-    assert [(one.machine, one.seed, one.steps) for one in batches] == [
+    assert [(batch.machine, batch.seed, batch.steps) for batch in batches] == [
         ("a", 7, 20_000),
         ("b", 8, 20_000),
         ("a", 9, 10_000),
--- a/benchmarks/walks.py
+++ b/benchmarks/walks.py
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _DataSampler:
-    """Draws values within a rule, in place of the object that ``st.data()`` gives."""
+    """Draws values within a rule, in place of the object that ``st.data()`` draws."""
 
     source: random.Random = field(repr=False)
 
