--- a/buckthornstile/settings/_common.py
+++ b/buckthornstile/settings/_common.py
@@ -1,7 +1,7 @@
 """Base class, field helpers and address checks of all settings.
 
-A check that involves two settings belongs to the one declared later. If the earlier
-setting is invalid, it is missing from the data of the check, which is then skipped.
+A check that involves two settings belongs to the setting that is declared later. If the
+earlier one is invalid, pydantic does not pass its value to the check, which is skipped.
 """
 
 import ipaddress
@@ -65,7 +65,8 @@
         value: URL, whose host must be an IP address.
 
     Raises:
-        ValueError: The URL has another form.
+        ValueError: The URL is malformed, is not http or https, or its host is not an
+            IP address.
 
     Example:
         >>> check_url("http://127.0.0.1:80/")
@@ -82,18 +83,18 @@
     except ValueError:
         is_valid = False
     if not is_valid:
-        raise ValueError("must be http://NUMBER:PORT or https://NUMBER:PORT")
+        raise ValueError("must be http://IP:PORT or https://IP:PORT")
     return value.rstrip("/")
 
 
 def check_address(value: str) -> str:
-    """Checks an address of the form ``NUMBER:PORT`` and returns it.
+    """Checks an address of the form ``IP:PORT`` and returns it.
 
     Args:
         value: IP address and port, or an empty string for no address.
 
     Raises:
-        ValueError: The address has another form.
+        ValueError: The address does not have this form.
 
     Example:
         >>> check_address("127.0.0.1:7400")
@@ -108,7 +109,7 @@
     except ValueError:
         is_valid = False
     if not is_valid:
-        raise ValueError("must be NUMBER:PORT, such as 127.0.0.1:7400")
+        raise ValueError("must be IP:PORT, such as 127.0.0.1:7400")
     return value
 
 
--- a/buckthornstile/settings/_entry.py
+++ b/buckthornstile/settings/_entry.py
@@ -33,7 +33,7 @@
         description="Failure domain of the process's VM."
     )
     store_address: str = Field(
-        description="Address of the platform's store, as NUMBER:PORT."
+        description="Address of the platform's store, as IP:PORT."
     )
     client_address: str = Field(
         default="",
@@ -105,7 +105,7 @@
         0.3,
         300,
         "s",
-        "Time within which the lease cannot pass to another process and back.",
+        "Minimum time for the lease to pass to another process and back.",
     )
     usage_window: float = make_number_field(
         5.0, 0.1, 86_400, "s", "Length of a usage window."
@@ -185,7 +185,7 @@
     @classmethod
     def _check_address(cls, value: str, info: ValidationInfo) -> str:
         if info.field_name == "store_address" and not value:
-            raise ValueError("must be NUMBER:PORT, such as 127.0.0.1:7400")
+            raise ValueError("must be IP:PORT, such as 127.0.0.1:7400")
         return check_address(value)
 
     @field_validator("max_timeout", "max_append_bytes", "usage_due")
--- a/buckthornstile/settings/_load.py
+++ b/buckthornstile/settings/_load.py
@@ -18,7 +18,7 @@
 from buckthornstile.settings._entry import EntrySettings
 from buckthornstile.settings._operator import OperatorSettings
 
-S = TypeVar("S", bound=CommonSettings)
+SettingsT = TypeVar("SettingsT", bound=CommonSettings)
 
 MAX_SHOWN_LENGTH = 80
 """Maximum length of a value in an error text, in characters."""
@@ -29,9 +29,11 @@
 
 
 def load_settings(
-    settings_class: type[S], flags: Mapping[str, object] | None = None
-) -> S:
-    """Loads settings from flags, environment variables and defaults, in this order.
+    settings_class: type[SettingsT], flags: Mapping[str, object] | None = None
+) -> SettingsT:
+    """Loads settings from flags, environment variables and defaults.
+
+    A flag overrides an environment variable, which overrides the default.
 
     Args:
         settings_class: Class of the settings.
@@ -82,7 +84,7 @@
 
 
 def list_unknown_variables() -> tuple[str, ...]:
-    """Lists environment variables with the prefix that name no setting of any role.
+    """Lists environment variables that have the prefix but belong to no setting.
 
     Returns:
         Names of the variables, sorted.
@@ -114,7 +116,7 @@
 
     Returns:
         A phrase such as ``from 0.05 s to 60 s``, or an empty string for a field
-        without bounds and choices.
+        without bounds or choices.
 
     Example:
         >>> describe_range(OperatorSettings.model_fields["wait_timeout"])
@@ -152,7 +154,7 @@
     allowed = describe_range(info)
     if item["type"] == "missing":
         expected = f" ({allowed})" if allowed else ""
-        return f"{name} is not set; give --{name} or {variable}{expected}"
+        return f"{name} is not set; set --{name} or {variable}{expected}"
     formatted = _format_input(item["input"])
     if item["type"] == "value_error":
         reason = str(item["ctx"]["error"])
--- a/buckthornstile/settings/_operator.py
+++ b/buckthornstile/settings/_operator.py
@@ -16,7 +16,7 @@
     store_address: str = Field(
         default="",
         description=(
-            "Address of the platform's store, as NUMBER:PORT, for commands that use "
+            "Address of the platform's store, as IP:PORT, for commands that use "
             "the store."
         ),
     )
