--- a/buckthornstile/base/_checks.py
+++ b/buckthornstile/base/_checks.py
@@ -38,7 +38,7 @@
 
 
 def check_name(name: str, value: str, *, maximum_length: int = 128) -> None:
-    """Checks that a string is a printable name without spaces and slashes.
+    """Checks that a string is a printable name without spaces or slashes.
 
     Args:
         name: Name of the parameter.
--- a/buckthornstile/base/_ids.py
+++ b/buckthornstile/base/_ids.py
@@ -1,4 +1,4 @@
-"""Types of the identifiers of processes, client accounts and requests."""
+"""Types of identifiers, offsets and versions, and the priority classes of requests."""
 
 from enum import Enum
 from typing import NewType
@@ -28,16 +28,16 @@
 """Id of one run of a process or engine, which changes at each start."""
 
 RequestId = NewType("RequestId", str)
-"""Incarnation of an entry and a counter, joined by a slash."""
+"""Id of a request: an entry's incarnation and a counter, joined by a slash."""
 
 IdempotencyKey = NewType("IdempotencyKey", str)
-"""Caller's id of one call, the same for every attempt."""
+"""Id that a caller sets for one call, the same for every attempt."""
 
 TrainerId = NewType("TrainerId", str)
 """Name of a trainer."""
 
 LotId = NewType("LotId", str)
-"""Trainer's name of a lot: the samples that it requests for one training step."""
+"""Name of a lot, the samples that a trainer requests for one training step."""
 
 WeightVersion = NewType("WeightVersion", int)
 """Version number, which increases with each published set of weights."""
@@ -55,14 +55,17 @@
 """Offset of an accepted lease claim, which is used as the fencing token."""
 
 NO_TERM = Term(-1)
+"""Term before the first accepted lease claim."""
 
 Revision = NewType("Revision", int)
 """Number of configuration changes accepted so far."""
 
 ChangeId = NewType("ChangeId", str)
-"""Operator's id of one configuration change."""
+"""Id of one configuration change, the same for every attempt."""
 
 OrderId = NewType("OrderId", str)
+"""Id of an order to load weights."""
+
 WindowStart = NewType("WindowStart", int)
 """Start of a usage window, in seconds since the epoch."""
 
--- a/buckthornstile/clock/_clock.py
+++ b/buckthornstile/clock/_clock.py
@@ -20,7 +20,7 @@
 
 
 def read_wall_time() -> float:
-    """Returns the wall clock time, for usage windows and display only.
+    """Returns the wall clock time, which may jump and differ between VMs.
 
     Returns:
         Seconds since the epoch.
--- a/buckthornstile/commands/_queries.py
+++ b/buckthornstile/commands/_queries.py
@@ -60,9 +60,9 @@
             ``lease``; all events if left out.
         logs: Paths of log files with event lines, separated by commas; ``-`` is
             standard input.
-        context: Also show other events (store, lease, configuration) of each process
-            that handled the subject, from 10 s before its first event there to its
-            last. Only with ``--logs``.
+        context: Also show the events of the store, the lease and the configuration in
+            each process that handled the subject, from 10 s before the first event of
+            the subject in that process to the last. Only with ``--logs``.
         json: Print one JSON object.
         **flags: Settings: entries.
     """
--- a/buckthornstile/sheet/_errors.py
+++ b/buckthornstile/sheet/_errors.py
@@ -57,10 +57,10 @@
 
 
 class SheetError(BuckthornstileError):
-    """Raised when a sheet is rejected; nothing of it is applied.
+    """Raised when a sheet is rejected; none of its changes is applied.
 
     Args:
-        problems: All problems that were found in the sheet.
+        problems: Problems that were found in the sheet.
 
     Example:
         >>> problem = SheetProblem(0, "", SheetErrorCode.UNREADABLE, "is empty")
--- a/buckthornstile/sheet/_parse.py
+++ b/buckthornstile/sheet/_parse.py
@@ -1,4 +1,4 @@
-"""Parses rows of text into configuration items and reports every problem."""
+"""Parses rows of text into configuration items and collects the problems in them."""
 
 from dataclasses import dataclass, field
 
@@ -39,6 +39,8 @@
     "rule": ("name", "path", "service"),
     "drain": ("name",),
 }
+"""Columns that a row must have, by kind."""
+
 OPTIONAL_COLUMNS = {
     "account": ("weight", "maximum_open"),
     "key": (),
@@ -46,6 +48,8 @@
     "rule": ("account", "trainer", "class", "idempotent", "maximum_age"),
     "drain": ("reason",),
 }
+"""Columns that a row may have in addition, by kind."""
+
 ITEM_TYPES: dict[str, type[Account] | type[OpenRoute] | type[Rule] | type[Drain]] = {
     "account": Account,
     "open_route": OpenRoute,
@@ -60,13 +64,15 @@
     "no": False,
     "0": False,
 }
+"""Values of a boolean cell, by its text in lower case."""
+
 MAX_PROBLEMS = 200
 """Maximum number of problems that an error lists."""
 
 
 @dataclass(frozen=True, slots=True)
 class SheetKey:
-    """An API key that the sheet lists by name; a sheet never holds its clear text."""
+    """An API key that the sheet lists by name; the sheet never holds its clear text."""
 
     name: KeyId
     account: AccountId
@@ -203,7 +209,7 @@
     def _check_columns(self, row_number: int, kind: str, texts: dict[str, str]) -> None:
         for column in REQUIRED_COLUMNS[kind]:
             if column not in texts:
-                message = f"is empty; a row of kind {kind} must have it"
+                message = f"is empty; a row of kind {kind} requires a value"
                 self._add_problem(
                     row_number, column, SheetErrorCode.CELL_MISSING, message
                 )
@@ -254,7 +260,7 @@
             self._add_problem(row_number, "name", SheetErrorCode.CELL_INVALID, message)
             return False
         if name == ANY_ACCOUNT:
-            message = "is '*', which is reserved for any account"
+            message = "is '*', which is reserved and means any account"
             self._add_problem(row_number, "name", SheetErrorCode.CELL_INVALID, message)
             return False
         return True
--- a/buckthornstile/sheet/_plan.py
+++ b/buckthornstile/sheet/_plan.py
@@ -30,7 +30,7 @@
 MANAGED_KINDS = ("account", "open_route", "rule")
 """Kinds whose items are removed if the sheet does not list them.
 
-Other kinds, drains and keys, are also created by commands.
+Drains and keys are not among them, since commands also create these.
 """
 
 
@@ -38,6 +38,9 @@
 class SheetPlan:
     """The changes that applying a sheet makes.
 
+    Two plans that make the same changes are equal: the base revision and the items that
+    stay as they are do not count.
+
     Args:
         base_revision: Revision of the configuration that the plan was computed for.
         added: Items to add.
@@ -82,8 +85,8 @@
     Args:
         configuration: The current configuration.
         sheet: The sheet.
-        allow_removal: Whether a large fraction of the items may be removed, and keys
-            that the sheet does not list are withdrawn.
+        allow_removal: Whether a large fraction of the items may be removed, and whether
+            keys that the sheet does not list are withdrawn.
 
     Returns:
         The plan.
@@ -106,8 +109,10 @@
         for item in configuration.list_items()
         if not isinstance(item, ApiKey)
     }
-    wanted = {(item.kind, str(item.name)): item for item in sheet.items}
-    unlisted = [item for name, item in current_items.items() if name not in wanted]
+    listed_items = {(item.kind, str(item.name)): item for item in sheet.items}
+    unlisted_items = [
+        item for name, item in current_items.items() if name not in listed_items
+    ]
     listed_keys = {key.name for key in sheet.keys}
     unlisted_keys = [
         key
@@ -116,19 +121,23 @@
     ]
     plan = SheetPlan(
         base_revision=configuration.revision,
-        added=tuple(item for name, item in wanted.items() if name not in current_items),
+        added=tuple(
+            item for name, item in listed_items.items() if name not in current_items
+        ),
         changed=tuple(
             item
-            for name, item in wanted.items()
+            for name, item in listed_items.items()
             if current_items.get(name, item) != item
         ),
-        removed=tuple(item for item in unlisted if item.kind in MANAGED_KINDS),
+        removed=tuple(item for item in unlisted_items if item.kind in MANAGED_KINDS),
         unchanged=tuple(
-            item for name, item in wanted.items() if current_items.get(name) == item
+            item
+            for name, item in listed_items.items()
+            if current_items.get(name) == item
         ),
         new_keys=tuple(key for key in sheet.keys if key.name not in configuration.keys),
         withdrawn_keys=tuple(unlisted_keys) if allow_removal else (),
-        kept=tuple(item for item in unlisted if item.kind not in MANAGED_KINDS)
+        kept=tuple(item for item in unlisted_items if item.kind not in MANAGED_KINDS)
         + (() if allow_removal else tuple(unlisted_keys)),
     )
     if not allow_removal:
--- a/buckthornstile/sheet/_reader.py
+++ b/buckthornstile/sheet/_reader.py
@@ -1,4 +1,4 @@
-"""Reads CSV and XLSX files, also malformed ones, into rows of text."""
+"""Reads CSV and XLSX files into rows of text and rejects malformed files."""
 
 import csv
 import io
@@ -16,6 +16,7 @@
 MAX_CELL_CHARACTERS = 512
 ZIP_SIGNATURE = b"PK\x03\x04"
 FORMULA_PREFIXES = ("=", "@", "+", "-")
+"""First characters of a text that spreadsheet programs interpret as a formula."""
 
 
 @dataclass(frozen=True, slots=True)
