--- a/buckthornstile/client/_session.py
+++ b/buckthornstile/client/_session.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionPolicy:
-    """Timeout and delays of the attaches of a trainer to its lot.
+    """Timeout and delays for attaching to a lot.
 
     Args:
         silence_timeout: Seconds without a line on the stream after which the trainer
@@ -66,7 +66,7 @@
 
 
 class LotSession:
-    """State of one lot in its trainer, over attaches through any of the entries.
+    """State of one lot in its trainer, across its attaches to any of the entries.
 
     Args:
         received: Receiver of the lot's samples.
--- a/buckthornstile/client/_trainer.py
+++ b/buckthornstile/client/_trainer.py
@@ -69,7 +69,7 @@
         entries: URLs of the entries or of their load balancer, with IP addresses.
         key: API key of the client account.
         trainer: Id of the trainer.
-        policy: Timeout and delays of the attaches to lots.
+        policy: Timeout and delays for attaching to lots.
         ssl_options: TLS options for ``https`` URLs.
 
     Example:
--- a/standins/tcp_proxy.py
+++ b/standins/tcp_proxy.py
@@ -81,7 +81,7 @@
         self.blocked_directions = frozenset()
 
     def reset_connections(self) -> None:
-        """Aborts the open connections; also undoes disconnect() for new ones."""
+        """Aborts the open connections and accepts new ones, even after disconnect()."""
         self._run(self._abort_connections())
         self._is_open = True
 
