--- a/buckthornstile/commands/_propagation.py
+++ b/buckthornstile/commands/_propagation.py
@@ -73,7 +73,7 @@
     try:
         status = await fetch(f"{url}/v1/status", STATUS_TIMEOUT_S)
     except BuckthornstileError:
-        return [f"{url} (no response)"]
+        return [f"{url} (no answer)"]
     return list_outdated_entries(url, status, result)
 
 
--- a/buckthornstile/commands/tests/test_commands.py
+++ b/buckthornstile/commands/tests/test_commands.py
@@ -130,7 +130,7 @@
     words = ["drain", "bench-a", "--entries=http://127.0.0.1:1", "--wait_timeout=0"]
     exit_code, data = run_command(capsys, *words)
     assert exit_code == ExitCode.NOT_IN_FORCE
-    assert data["in_force"]["behind"] == ["http://127.0.0.1:1 (no response)"]
+    assert data["in_force"]["behind"] == ["http://127.0.0.1:1 (no answer)"]
     assert main(["status", "--entries=http://127.0.0.1:1"]) == 4
 
 
