--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -241,7 +241,12 @@
 async def run_benchmark(
     deployment: Deployment, key: str, client_address: str, requests: int, clients: int
 ) -> dict[str, float]:
-    """Returns all measures by name, with times in milliseconds and memory in MiB."""
+    """Returns all measures by name, with times in milliseconds and memory in MiB.
+
+    ``bare_exchange_ms`` is the baseline of the CPU time. Measures whose names end in
+    ``_own`` or ``_own_ms`` are of the API address, ``added_p50_ms`` and ``cpu_ratio``
+    of the client address.
+    """
     entry = deployment.entries["e1"]
     desk = deployment.workers["desk"]
     direct_address = f"{desk.address}:{desk.port}"
--- a/buckthornstile/base/_errors.py
+++ b/buckthornstile/base/_errors.py
@@ -44,9 +44,11 @@
     # Upstreams
     UPSTREAM_FAILED = "upstream.failed"
     ANSWER_TRUNCATED = "upstream.answer_truncated"
+    # The response belongs to another request.
     ANSWER_CROSSED = "upstream.answer_crossed"
     VERSION_UNVERIFIABLE = "upstream.version_unverifiable"
     # Samples
+    # The trainer has attached to the lot again since.
     ATTACH_OLD = "sample.attach_old"
     LOT_UNKNOWN = "sample.lot_unknown"
     LOT_INVALID = "sample.lot_invalid"
--- a/buckthornstile/base/_ids.py
+++ b/buckthornstile/base/_ids.py
@@ -78,7 +78,7 @@
 
 
 class RequestClass(Enum):
-    """Priority class of a request; classes are served in the order of the members."""
+    """Priority class of a request; the members are in the order of precedence."""
 
     INTERACTIVE = "waited"
     TRAINER = "trainer"
--- a/buckthornstile/client/_retry.py
+++ b/buckthornstile/client/_retry.py
@@ -67,7 +67,8 @@
     Args:
         entry_count: Number of entries to choose from.
         idempotent: Whether the call is safe to run more than once.
-        deadline: Deadline of the call, in seconds on the clock of ``now``.
+        deadline: Deadline of the call, in seconds, on the clock that the methods'
+            ``now`` is read from.
         generator: Source of the jitter and of the choice of the first entry.
         policy: Number of attempts and delays between them.
 
--- a/buckthornstile/client/_session.py
+++ b/buckthornstile/client/_session.py
@@ -18,6 +18,7 @@
 )
 
 _MAX_DOUBLINGS = 10
+"""Limit of the backoff's exponent; ``2.0**1024`` would overflow a float."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +67,7 @@
 
 
 class LotSession:
-    """State of one lot in its trainer, across its attaches to any of the entries.
+    """State of one lot in the trainer's client, kept while it changes entries.
 
     Args:
         received: Receiver of the lot's samples.
@@ -193,8 +194,8 @@
         if result is ReceiveResult.DUPLICATE:
             return SessionAction.READ
         # The sample is too old. A new attach sends the trainer's version, so that
-        # the entry generates the slot again. A stream that has brought no new
-        # sample is replaced by one through the next entry.
+        # the entry generates the slot again. If this stream has brought no new
+        # sample, the attach is sent to the next entry instead of the same one.
         return (
             self.on_stream_failed(now)
             if self._unproductive_attaches
--- a/buckthornstile/client/tests/test_trainer.py
+++ b/buckthornstile/client/tests/test_trainer.py
@@ -38,6 +38,7 @@
 END_LINE = encode_line(EndLine(delivered=4))
 TRUNCATED_LINE = make_line(1)[:-20]
 LINE_WITH_WRONG_BODY = make_line(1).replace(b"sample 1", b"sample 9")
+# Parts that the first entry sends, by fault; after None it sends nothing more.
 FAULTS = {
     "closes after two samples": [make_line(0), make_line(1)],
     "stops sending": [make_line(0), None],
--- a/buckthornstile/logs/_event_log.py
+++ b/buckthornstile/logs/_event_log.py
@@ -141,9 +141,10 @@
 
 
 def _limit_value(value: object) -> object:
-    """Rounds a float to 4 decimals, and converts other objects to a truncated text.
+    """Returns the value of a field with its precision or its length limited.
 
-    Other numbers and None are returned as they are.
+    Floats are rounded to 4 decimals. Integers, booleans and None are returned as they
+    are. Any other value is converted to a text, which is truncated.
     """
     if isinstance(value, int | float | bool) or value is None:
         return round(value, 4) if isinstance(value, float) else value
--- a/buckthornstile/metrics/_series.py
+++ b/buckthornstile/metrics/_series.py
@@ -13,7 +13,7 @@
 """Names and values of a series' labels, sorted by name."""
 
 MAX_SERIES_PER_NAME = 256
-"""Number of series per name, without the one with ``OVERFLOW_LABELS``."""
+"""Maximum number of series per name, without the one with ``OVERFLOW_LABELS``."""
 OVERFLOW_LABELS: Labels = (("series", "other"),)
 """Labels of the series that combines all series beyond the maximum number."""
 NAME_PATTERN = re.compile(r"[a-z][a-z0-9_]{0,79}")
@@ -70,7 +70,7 @@
 
         Raises:
             ValueError: The counter's name or a label's name is malformed; checked only
-                when a name is used first.
+                at the first use of the counter.
 
         Example:
             >>> Counters().increment(CounterName("heartbeats"))
@@ -118,7 +118,7 @@
 
         Raises:
             ValueError: The gauge's name or a label's name is malformed; checked only
-                when a name is used first.
+                at the first use of the gauge.
 
         Example:
             >>> Gauges().set(GaugeName("limit"), 4.0, upstream="engine-1")
--- a/buckthornstile/settings/_load.py
+++ b/buckthornstile/settings/_load.py
@@ -158,6 +158,7 @@
     formatted = _format_input(item["input"])
     if item["type"] == "value_error":
         reason = str(item["ctx"]["error"])
+        # The text of check_name already starts with the setting's name.
         is_sentence = reason.startswith(name)
         return reason if is_sentence else f"{name} is {formatted}; it {reason}"
     unit = get_unit(info.json_schema_extra)
--- a/buckthornstile/sheet/_parse.py
+++ b/buckthornstile/sheet/_parse.py
@@ -30,7 +30,7 @@
     "maximum_age",
     "reason",
 )
-"""Column names of a sheet; all columns except ``kind`` are optional."""
+"""Column names that a sheet's header may have; only ``kind`` must be there."""
 
 REQUIRED_COLUMNS = {
     "account": ("name",),
@@ -39,7 +39,7 @@
     "rule": ("name", "path", "service"),
     "drain": ("name",),
 }
-"""Columns that a row must have, by kind."""
+"""Columns that a row must fill in, by the row's kind."""
 
 OPTIONAL_COLUMNS = {
     "account": ("weight", "maximum_open"),
@@ -48,7 +48,7 @@
     "rule": ("account", "trainer", "class", "idempotent", "maximum_age"),
     "drain": ("reason",),
 }
-"""Columns that a row may have in addition, by kind."""
+"""Columns that a row may also fill in, by the row's kind; others must be empty."""
 
 ITEM_TYPES: dict[str, type[Account] | type[OpenRoute] | type[Rule] | type[Drain]] = {
     "account": Account,
--- a/buckthornstile/sheet/tests/test_sheet.py
+++ b/buckthornstile/sheet/tests/test_sheet.py
@@ -1,7 +1,8 @@
 """Tests of parsing a sheet and planning its changes.
 
 A sheet is accepted or rejected as a whole. A large removal requires a flag, so that
-a truncated sheet does not remove most of the configuration.
+a truncated sheet does not remove most of the configuration. The same flag is needed to
+withdraw the keys that a sheet does not list.
 """
 
 import datetime
--- a/standins/worker/_application.py
+++ b/standins/worker/_application.py
@@ -25,7 +25,7 @@
 
     Attributes:
         id: Name of the worker, sent as ``Instance-Id``.
-        slots: Number of requests that it reports it can run at once.
+        slots: Maximum number of concurrent requests, as reported by the worker.
         events: Number of events in a stream whose request has no prompt.
         event_seconds: Seconds before each event of a stream.
         work_seconds: Seconds that a plain request takes.
@@ -59,9 +59,9 @@
     - ``reset``: the request is recorded as run, but the connection is closed without
       a response.
     - ``silent``: the request is recorded as run, and handled after ``seconds``.
-    - ``truncate``: the body of the response is incomplete.
-    - ``crossed``: the response carries the id of another request.
-    - ``unsigned``: a successful response lacks the ``Server-Stamp`` header.
+    - ``truncate``: the body of a plain response is incomplete.
+    - ``crossed``: a plain response carries the id of another request.
+    - ``unsigned``: a plain response lacks the ``Server-Stamp`` header.
     - ``cut``: the connection of a stream is closed after ``value`` events.
     - ``cut_end``: the connection of a stream is closed after its last event.
     - ``stall``: a stream pauses for ``seconds`` before each event after the first
@@ -80,7 +80,7 @@
         self.journal = journal
 
     def check_expected_instance(self) -> bool:
-        """Returns whether the request is for this worker, or else sends status 421."""
+        """Returns whether the request is for this worker; if not, sends status 421."""
         expected = self.request.headers.get("Expect-Instance", self.state.id)
         if expected == self.state.id:
             return True
