--- a/tests/harness.py
+++ b/tests/harness.py
@@ -124,7 +124,7 @@
     # Observations
 
     def save_journal(self, name: str) -> None:
-        """Saves a worker's journal, which is lost when the worker ends."""
+        """Saves a worker's journal, which is lost when the worker exits."""
         self.observations.upstream_journals[name] = self.workers[name].read_journal()
 
     def kill_worker(self, name: str) -> None:
@@ -165,8 +165,8 @@
     def find_lease_holder(self, *, exclude: str = "") -> str:
         """Returns the name of the lease holder, or an empty string if there is none."""
         for name, process in self.entries.items():
-            is_asked = process.is_running and name != exclude
-            if is_asked and self.read_lease_status(name)["is_holder"]:
+            is_candidate = process.is_running and name != exclude
+            if is_candidate and self.read_lease_status(name)["is_holder"]:
                 return name
         return ""
 
--- a/tests/invariants.py
+++ b/tests/invariants.py
@@ -86,7 +86,7 @@
         samples: The samples, as their trainers observed them.
         upstream_journals: The journal of each worker.
         store_journal: The store's journal, including the calls to the platform.
-        lost_journals: Names of the workers that ended before their last journal
+        lost_journals: Names of the workers that exited before their last journal
             was read.
     """
 
@@ -135,10 +135,11 @@
 
 
 def check_at_most_once(observations: Observations) -> None:
-    """Checks that each order ran at most once and that all verdicts are true.
+    """Checks that each order ran at most once and that all verdicts are correct.
 
-    The verdict ``not_run`` means that the call never ran, and a response with status
-    200 means that it ran once. The verdict ``may_have_run`` allows both.
+    The verdict ``not_run`` means that the call never ran. An order whose response has
+    status 200 ran once, which can't be checked if a journal was lost. The verdict
+    ``may_have_run`` is correct in either case.
     """
     runs = count_runs_by_name(observations)
     orders = {call.name for call in observations.calls if call.kind == "order"}
@@ -150,8 +151,10 @@
                 f"{call.name} ran, but failed as not run with {call.error_code}"
             )
         if call.kind == "order" and call.status == STATUS_OK:
-            is_known = runs[call.name] == 1 or bool(observations.lost_journals)
-            assert is_known, f"{call.name} has a response but never ran"
+            has_run_or_lost_journal = runs[call.name] == 1 or bool(
+                observations.lost_journals
+            )
+            assert has_run_or_lost_journal, f"{call.name} has a response but never ran"
 
 
 def check_responses(observations: Observations) -> None:
@@ -270,8 +273,8 @@
     reports = [e for e in observations.store_journal if e["what"] == "usage"]
     check_terms_monotonic([(e["term"], e["holder"]) for e in reports])
     for journal in observations.upstream_journals.values():
-        orders = [e for e in journal if e["what"] == "order"]
-        check_terms_monotonic([(e["fence"], e["holder"]) for e in orders])
+        load_orders = [e for e in journal if e["what"] == "order"]
+        check_terms_monotonic([(e["fence"], e["holder"]) for e in load_orders])
 
 
 def _find_claims(data: str) -> set[str]:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,7 @@
 
 
 def test_calls_continue_when_registrations_expire_during_store_outage():
-    """A registration that expires during an outage doesn't mean that a worker ended.
+    """An expired registration doesn't mean that a worker has exited.
 
     Workers can't renew their registrations while the store rejects appends.
     """
@@ -35,8 +35,10 @@
                 timeout=30,
             )
         assert {call.status for call in finished} <= {200, 0}
-        served = [call for call in finished if call.started_at > outage_ended_at + 2.0]
-        assert {call.error_code for call in served} == {""}
+        late_calls = [
+            call for call in finished if call.started_at > outage_ended_at + 2.0
+        ]
+        assert {call.error_code for call in late_calls} == {""}
         harness.collect_and_check()
 
     with DeploymentHarness(services=2) as harness:
@@ -70,8 +72,8 @@
         assert len(starts) >= COLD_RATE, (
             "the cold upstream got too few requests for the check"
         )
-        for first, later in itertools.pairwise(starts[:: int(COLD_RATE) + 1]):
-            assert later - first >= 1.0, (
+        for earlier, later in itertools.pairwise(starts[:: int(COLD_RATE) + 1]):
+            assert later - earlier >= 1.0, (
                 "more requests than the cold rate in one second"
             )
         harness.collect_and_check()
--- a/tests/test_kills.py
+++ b/tests/test_kills.py
@@ -78,9 +78,9 @@
                 harness.kill_worker("desk-0")
             else:
                 harness.entries["entry-0"].kill()
-            killed_at = len(finished)
+            count_at_kill = len(finished)
             await harness.wait_until(
-                lambda: sum(c.status == 200 for c in finished[killed_at:]) >= 20,
+                lambda: sum(c.status == 200 for c in finished[count_at_kill:]) >= 20,
                 "orders succeed again",
             )
         harness.collect_and_check()
@@ -150,8 +150,8 @@
         trainer = harness.make_trainer()
         # Twice as many samples as can run at once, so that half of them arrive a
         # second later.
-        wanted = make_lot("lot-1", samples=16)
-        lot = asyncio.create_task(harness.run_lot(trainer, wanted))
+        specification = make_lot("lot-1", samples=16)
+        lot = asyncio.create_task(harness.run_lot(trainer, specification))
         await harness.wait_until(
             lambda: len(harness.observations.samples) >= 3,
             "the first samples have arrived",
@@ -200,7 +200,7 @@
         for name in names:
             harness.entries[name].kill()
         for name in names:
-            # The trainer has the addresses of the killed entries.
+            # The trainer knows only the addresses of the killed entries.
             harness.add_entry(name, "bench-a", replaces=harness.entries[name])
         assert len(await lot) == 4
         # No sample was generated again, as the store held them.
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -26,36 +26,38 @@
         async with harness.run_background_load(
             lambda: harness.send_lookup(caller), clients=2
         ):
-            # At any pause a report is in flight or its response is lost.
+            # Whenever the holder is paused, a report is in flight or its response lost.
             harness.store.add_fault(fault, target="duty", seconds=0.2)
             await harness.wait_until(
                 lambda: harness.find_lease_holder() != "", "an entry holds the lease"
             )
-            first = harness.find_lease_holder()
+            first_holder = harness.find_lease_holder()
             await harness.wait_until(
-                lambda: first in list_reporters(harness), "the lease holder reports"
+                lambda: first_holder in list_reporters(harness),
+                "the lease holder reports",
             )
-            harness.entries[first].pause()
-            find_other_holder = lambda: harness.find_lease_holder(exclude=first)
+            harness.entries[first_holder].pause()
+            find_other_holder = lambda: harness.find_lease_holder(exclude=first_holder)
             await harness.wait_until(
                 lambda: find_other_holder() != "", "another entry holds the lease"
             )
-            second = find_other_holder()
+            second_holder = find_other_holder()
             await harness.wait_until(
-                lambda: second in list_reporters(harness), "the lease holder reports"
+                lambda: second_holder in list_reporters(harness),
+                "the lease holder reports",
             )
-            reported = list_reporters(harness).count(first)
-            term = harness.read_lease_status(second)["term"]
-            harness.entries[first].resume()
+            reported = list_reporters(harness).count(first_holder)
+            term = harness.read_lease_status(second_holder)["term"]
+            harness.entries[first_holder].resume()
             await harness.wait_until(
-                lambda: harness.read_lease_status(first)["term"] >= term,
+                lambda: harness.read_lease_status(first_holder)["term"] >= term,
                 "the first holder has seen the new term",
             )
             count = len(list_reporters(harness))
             await harness.wait_until(
                 lambda: len(list_reporters(harness)) >= count + 2, "reports continue"
             )
-            assert list_reporters(harness).count(first) == reported
+            assert list_reporters(harness).count(first_holder) == reported
         harness.collect_and_check()
 
     with DeploymentHarness(services=1, entries=3) as harness:
--- a/tests/test_malformed_clients.py
+++ b/tests/test_malformed_clients.py
@@ -1,4 +1,4 @@
-"""Clients send garbage, slow or oversized requests, or disconnect early."""
+"""Clients send invalid, incomplete or oversized requests, or disconnect early."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,7 @@
 
 
 async def send_raw(process, data, *, disconnect=False):
-    """Sends raw bytes and returns the response, or what arrived before the timeout."""
+    """Sends raw bytes and returns the response, or nothing if it is incomplete."""
     reader, writer = await asyncio.open_connection(process.address, process.port)
     response = b""
     with contextlib.suppress(TimeoutError, OSError):
@@ -29,7 +29,11 @@
 
 
 async def read_response(reader):
-    """Reads one response, up to its Content-Length or until the connection closes."""
+    """Reads one response.
+
+    Without a Content-Length header, only the first part of the body is read. The result
+    is empty if the connection closes before the head or the body is complete.
+    """
     with contextlib.suppress(asyncio.IncompleteReadError):
         head = await reader.readuntil(b"\r\n\r\n")
         for line in head.lower().split(b"\r\n"):
@@ -45,50 +49,55 @@
 
 
 def test_malformed_requests_are_refused_and_affect_no_other_caller():
-    """Slow, random, oversized and invalid requests arrive beside a caller's orders."""
+    """A caller's orders succeed while other clients send malformed requests."""
 
     async def scenario(harness):
         entry = harness.entries["entry-0"]
         head = HEAD.format(key=harness.api_key)
         caller = harness.make_caller(attempts=1)
-        slow_connections = [
+        incomplete_connections = [
             await asyncio.open_connection(entry.address, entry.port) for _ in range(50)
         ]
         async with harness.run_background_load(
             lambda: harness.place_order(caller)
         ) as finished:
-            for _, writer in slow_connections:
+            for _, writer in incomplete_connections:
                 writer.write(head[:40].encode())
-            garbage = [secrets.token_bytes(4096) for _ in range(20)]
+            random_messages = [secrets.token_bytes(4096) for _ in range(20)]
             await asyncio.gather(
-                *[send_raw(entry, g, disconnect=n % 2) for n, g in enumerate(garbage)]
+                *[
+                    send_raw(entry, message, disconnect=number % 2)
+                    for number, message in enumerate(random_messages)
+                ]
             )
-            declared = f"{head}Content-Length: {MAX_BODY_BYTES + 1}\r\n\r\n".encode()
+            oversized = f"{head}Content-Length: {MAX_BODY_BYTES + 1}\r\n\r\n".encode()
             chunk = f"{MAX_BODY_BYTES + 1:x}\r\n".encode() + b"x" * (MAX_BODY_BYTES + 1)
-            chunked = f"{head}Transfer-Encoding: chunked\r\n\r\n".encode() + chunk
-            length = f"{head}Content-Length: "
-            completion = length.replace("/lookup", "/v1/completions")
-            lot = length.replace("/lookup", "/v1/lots")
-            empty = f"{length}0\r\n\r\n"
-            long_key = f"{head}Idempotency-Key: {'k' * 300}\r\n"
+            oversized_chunked = (
+                f"{head}Transfer-Encoding: chunked\r\n\r\n".encode() + chunk
+            )
+            lookup_head = f"{head}Content-Length: "
+            completion_head = lookup_head.replace("/lookup", "/v1/completions")
+            lot_head = lookup_head.replace("/lookup", "/v1/lots")
+            empty_lookup = f"{lookup_head}0\r\n\r\n"
+            long_key_head = f"{head}Idempotency-Key: {'k' * 300}\r\n"
             refused = {
-                "request.body_too_large": [declared, chunked],
+                "request.body_too_large": [oversized, oversized_chunked],
                 "request.body_malformed": [
-                    f"{completion}4\r\n\r\n{{{{{{{{".encode(),
-                    f"{completion}2\r\n\r\n[]".encode(),
-                    f'{lot}4\r\n\r\n"x" '.encode(),
+                    f"{completion_head}4\r\n\r\n{{{{{{{{".encode(),
+                    f"{completion_head}2\r\n\r\n[]".encode(),
+                    f'{lot_head}4\r\n\r\n"x" '.encode(),
                 ],
-                "sample.lot_invalid": [f"{lot}2\r\n\r\n{{}}".encode()],
+                "sample.lot_invalid": [f"{lot_head}2\r\n\r\n{{}}".encode()],
                 "request.header_invalid": [
                     f"{head}X-Timeout: soon\r\nContent-Length: 0\r\n\r\n".encode(),
-                    f"{long_key}Content-Length: 0\r\n\r\n".encode(),
+                    f"{long_key_head}Content-Length: 0\r\n\r\n".encode(),
                 ],
                 "key.unknown": [
                     f"{HEAD.format(key='bk_x')}Content-Length: 0\r\n\r\n".encode()
                 ],
                 "key.missing": [b"GET /lookup HTTP/1.1\r\nHost: x\r\n\r\n"],
                 "request.route_unknown": [
-                    empty.replace("/lookup", "/nowhere").encode()
+                    empty_lookup.replace("/lookup", "/nowhere").encode()
                 ],
             }
             assert refused.keys() <= ERROR_CODES
@@ -101,7 +110,7 @@
             await harness.wait_until(
                 lambda: len(finished) > count + 20, "the caller's orders continue"
             )
-        for _, writer in slow_connections:
+        for _, writer in incomplete_connections:
             writer.transport.abort()
         assert {call.status for call in finished} == {200}
         assert entry.is_running
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -19,8 +19,8 @@
 def test_concurrent_changes_of_two_operators_are_applied_or_refused(tmp_path):
     """Two operators apply different sheets based on the same revision.
 
-    In the second turn a key is withdrawn at the same time. Each command must either
-    make a revision of its own or fail with a conflict.
+    In the second round a key is withdrawn at the same time. Each command must either
+    create a revision of its own or fail with a conflict.
     """
 
     async def scenario(harness):
@@ -29,18 +29,20 @@
         # Slow appends let all commands read the same revision before any change is
         # in the store.
         harness.store.add_fault("slow", target="append", seconds=1.0)
-        for turn in range(2):
+        for round_number in range(2):
             sheets = []
             for operator in ("ann", "ben"):
-                sheet = tmp_path / f"{operator}-{turn}.csv"
-                weight = {"ann": 2, "ben": 3}[operator] + 2 * turn
-                sheet.write_text(SHEET.format(weight=weight, other=f"{operator}{turn}"))
+                sheet = tmp_path / f"{operator}-{round_number}.csv"
+                weight = {"ann": 2, "ben": 3}[operator] + 2 * round_number
+                sheet.write_text(
+                    SHEET.format(weight=weight, other=f"{operator}{round_number}")
+                )
                 sheets.append(str(sheet))
             commands = [
                 harness.run_command("config", "apply", sheet, "--store_timeout=5")
                 for sheet in sheets
             ]
-            if turn == 1:
+            if round_number == 1:
                 commands.append(
                     harness.run_command(
                         "keys", "withdraw", "mill-key", "--store_timeout=5"
@@ -55,7 +57,7 @@
             for code, output in results
             if code == 0 and output["changed"]
         ]
-        # Each accepted command made one revision, and there are no others.
+        # Each accepted command created one revision, and there are no others.
         changes = await harness.sync_revision()
         revisions = [change["revision"] for change in changes[before:]]
         assert (
@@ -67,14 +69,14 @@
         assert set(refusals) <= {"configuration.conflict"}
         await check_in_effect(harness, changes[-1])
 
-    async def check_in_effect(harness, last):
+    async def check_in_effect(harness, last_change):
         _, shown = await harness.run_command("config", "show")
-        assert shown["revision"] == last["revision"]
+        assert shown["revision"] == last_change["revision"]
         for entry in harness.entries:
             await harness.wait_until(
                 lambda e=entry: (
                     harness.read_status(e)["configuration"]["revision"]
-                    == last["revision"]
+                    == last_change["revision"]
                 ),
                 "the last revision is in effect",
                 timeout=5.0,
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -1,4 +1,4 @@
-"""Graceful stops of entries and workers break no request and hand lots over."""
+"""Entries and workers stop gracefully: no request fails and all lots complete."""
 
 import asyncio
 from urllib.error import URLError
@@ -14,13 +14,13 @@
 
 
 class RoundRobinBalancer:
-    """Sends each call to the next entry that reports that it is ready."""
+    """Creates each client for the next entry that reports that it is ready."""
 
     def __init__(self, harness):
         self.harness = harness
         self.next_index = 0
 
-    async def choose(self):
+    async def make_client(self):
         for _ in range(100):
             self.next_index += 1
             entries = list(self.harness.entries.values())
@@ -39,16 +39,16 @@
 
 @pytest.mark.parametrize("role", ["entry", "worker"])
 def test_graceful_stop_breaks_no_request(role):
-    """Processes are stopped while orders, streams and a lot run on them."""
+    """An entry or two workers are stopped while orders, streams and a lot run."""
 
     async def scenario(harness):
         balancer = RoundRobinBalancer(harness)
 
         async def order():
-            return await harness.place_order(await balancer.choose())
+            return await harness.place_order(await balancer.make_client())
 
         async def stream():
-            caller = await balancer.choose()
+            caller = await balancer.make_client()
             return await harness.send_completion(caller, tokens=200, stream=True)
 
         trainer = harness.make_trainer()
@@ -68,15 +68,16 @@
             stopping = [harness.entries["entry-0"]]
             if role == "worker":
                 stopping = [harness.workers["desk-0"], harness.workers["engine-0"]]
+                # A worker's journal is lost when the worker exits.
                 for name in ("desk-0", "engine-0"):
                     harness.observations.lost_journals.add(name)
             for process in stopping:
                 process.terminate()
-            codes = [
+            exit_statuses = [
                 await asyncio.to_thread(process.process.wait, SETTLE_TIMEOUT)
                 for process in stopping
             ]
-            assert codes == [0] * len(stopping)
+            assert exit_statuses == [0] * len(stopping)
             count = len(orders)
             await harness.wait_until(
                 lambda: len(orders) > count + 20, "orders continue"
@@ -84,6 +85,7 @@
         failure_codes = [c.error_code for c in [*orders, *streams] if c.status != 200]
         assert not failure_codes
         assert len(await running) == 32
+        # When its entry stops, the trainer attaches to the other one.
         assert trainer.attach_count == (2 if role == "entry" else 1)
         harness.collect_and_check()
 
--- a/tests/test_withdrawal.py
+++ b/tests/test_withdrawal.py
@@ -8,7 +8,7 @@
 from tests.invariants import list_request_times
 
 REFUSAL_CODES = {"key.withdrawn", "key.unknown", "process.configuration_old"}
-SLOW_ENGINE = {"event_seconds": 0.02}
+SLOW_ENGINE_FLAGS = {"event_seconds": 0.02}
 
 
 def test_withdrawn_key_is_refused_by_entry_without_store_connection():
@@ -53,14 +53,14 @@
             code, _ = await harness.run_command("keys", "withdraw", "mill-key")
             assert code == ExitCode.OK
             deadline = harness.find_append_time('"withdrawn":true') + PROPAGATION_LIMIT
-            finished = await asyncio.gather(*streams)
+            stream_records = await asyncio.gather(*streams)
             await asyncio.gather(lot, return_exceptions=True)
             await harness.wait_until(
                 lambda: min(first[-1].started_at, second[-1].started_at) > deadline,
                 "both entries get calls after the limit",
             )
-        assert all(call.finished_at < deadline for call in finished)
-        assert {call.error_code for call in finished} <= REFUSAL_CODES
+        assert all(call.finished_at < deadline for call in stream_records)
+        assert {call.error_code for call in stream_records} <= REFUSAL_CODES
         late = [c for c in [*first, *second] if c.started_at > deadline]
         assert {call.error_code for call in late} <= REFUSAL_CODES
         assert {call.verdict for call in late} == {"not_run"}
@@ -75,7 +75,7 @@
 
     with (
         DeploymentHarness(
-            engines=1, services=1, entries=1, engine_flags=SLOW_ENGINE
+            engines=1, services=1, entries=1, engine_flags=SLOW_ENGINE_FLAGS
         ) as harness,
         FaultyProxy(harness.store.address, harness.store.port) as proxy,
     ):
