--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -20,21 +20,23 @@
 
 
 def main() -> int:
-    """Runs seeds, several at a time.
+    """Runs the seeds, several at a time, and prints their results.
 
     Returns:
         The exit status.
     """
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=10)
-    parser.add_argument("--first", type=int, default=None, help="the first seed")
+    parser.add_argument(
+        "--first", type=int, default=None, help="the first seed; random by default"
+    )
     parser.add_argument(
         "--jobs", type=int, default=2, help="number of seeds that run at a time"
     )
     arguments = parser.parse_args()
     first = secrets.randbits(30) if arguments.first is None else arguments.first
     seeds = range(first, first + arguments.seeds)
-    failed = 0
+    failed_count = 0
     with multiprocessing.Pool(arguments.jobs) as pool:
         for result in pool.imap_unordered(run_seed, seeds):
             verdict = "FAILED" if result.problems else "passed"
@@ -45,10 +47,10 @@
                 flush=True,
             )
             if result.problems:
-                failed += 1
+                failed_count += 1
                 print(json.dumps(asdict(result), indent=1), flush=True)
-    print(f"{arguments.seeds} seeds from {first}: {failed} failed")
-    return int(failed > 0)
+    print(f"{arguments.seeds} seeds from {first}: {failed_count} failed")
+    return int(failed_count > 0)
 
 
 if __name__ == "__main__":
--- a/soak/_checks.py
+++ b/soak/_checks.py
@@ -9,7 +9,7 @@
 from tests.invariants import list_request_times
 
 RECOVERY_TIMEOUT = 15.0
-"""Seconds after the last fault within which all kinds of calls must succeed."""
+"""Seconds after the faults are cleared within which calls must succeed again."""
 
 
 def check_run(deployment: SoakDeployment) -> list[str]:
@@ -37,30 +37,33 @@
 def _check_drains(deployment: SoakDeployment) -> None:
     for domain, started_at, ended_at in deployment.drain_intervals:
         for name in deployment.harness.observations.upstream_journals:
+            # The worker's number determines its failure domain.
             if f"bench-{'abc'[int(name[-1])]}" != domain:
                 continue
-            late = [
+            late_times = [
                 at
                 for at in list_request_times(deployment.harness.observations, name)
                 if started_at + PROPAGATION_LIMIT < at < ended_at
             ]
-            assert not late, f"{name} got {len(late)} requests while drained"
+            assert not late_times, (
+                f"{name} got {len(late_times)} requests while drained"
+            )
 
 
 def _check_withdrawal(deployment: SoakDeployment) -> None:
     if not deployment.withdrawn_at:
         return
     deadline = deployment.withdrawn_at + PROPAGATION_LIMIT
-    served = [
+    late_calls = [
         call.name
         for call in deployment.harness.observations.calls
         if call.account == "quay" and call.status == 200 and call.started_at > deadline
     ]
-    assert not served, f"calls served with a withdrawn key: {served[:5]}"
+    assert not late_calls, f"calls served with a withdrawn key: {late_calls[:5]}"
 
 
 async def check_recovery(deployment: SoakDeployment) -> list[str]:
-    """Checks that all kinds of calls succeed again within the recovery timeout."""
+    """Checks that a lookup, an order and a completion succeed within the timeout."""
     caller = deployment.harness.make_caller(attempts=2)
     deadline = time.monotonic() + RECOVERY_TIMEOUT
     failed: list[str] = []
--- a/soak/_deployment.py
+++ b/soak/_deployment.py
@@ -16,6 +16,18 @@
     Args:
         harness: The harness, whose store and workers are started.
         plan: The plan that is run.
+
+    Attributes:
+        proxies: The proxy of each entry, by the entry's name.
+        drain_started_at: When each failure domain was drained, in seconds since the
+            epoch.
+        drain_intervals: Failure domain, start and end of each drain that has ended.
+        withdrawn_at: When the second account's key was withdrawn, in seconds since the
+            epoch; 0 if it was not.
+        version: The trainer's weight version.
+        change_lock: Held while a configuration change is appended to the store.
+        other_key: The second account's key in clear text.
+        other_key_item: The configuration item of that key.
     """
 
     def __init__(self, harness: DeploymentHarness, plan: FaultPlan) -> None:
@@ -46,6 +58,7 @@
         harness.wait_until_ready()
 
     def start_entry(self, name: str, *, restart: bool = False) -> ManagedProcess:
+        """Starts an entry behind its proxy, or replaces one that has exited."""
         proxy = self.proxies[name]
         number = int(name.rpartition("-")[2])
         return self.harness.add_entry(
@@ -56,7 +69,7 @@
         )
 
     def clear_all_faults(self) -> None:
-        """Clears every fault and restarts the entries that have ended."""
+        """Clears all faults, resumes paused processes and restarts exited entries."""
         self.harness.store.resume()
         self.harness.store.clear_faults()
         for proxy in self.proxies.values():
--- a/soak/_load.py
+++ b/soak/_load.py
@@ -30,15 +30,15 @@
         """Sends calls and runs lots until the event is set."""
         harness = self.harness
         caller = harness.make_caller()
-        other = harness.make_caller(key=self.deployment.other_key, attempts=1)
-        kinds = [
+        other_caller = harness.make_caller(key=self.deployment.other_key, attempts=1)
+        calls = [
             lambda: harness.place_order(caller, timeout=8.0),
             lambda: harness.send_lookup(caller, timeout=8.0),
             lambda: harness.send_completion(caller, timeout=8.0),
             lambda: harness.send_completion(
                 caller, stream=True, tokens=150, timeout=8.0
             ),
-            lambda: harness.place_order(other, account="quay", timeout=8.0),
+            lambda: harness.place_order(other_caller, account="quay", timeout=8.0),
         ]
 
         async def loop(call: Any) -> None:
@@ -47,9 +47,9 @@
                 await asyncio.sleep(CALL_INTERVAL)
 
         async with asyncio.TaskGroup() as group:
-            for call in kinds:
+            for call in calls:
                 group.create_task(loop(call))
-            group.create_task(self._send_on_kept_connections(stop_event))
+            group.create_task(self._send_on_persistent_connections(stop_event))
             group.create_task(self._run_lots(stop_event))
 
     async def _run_lots(self, stop_event: asyncio.Event) -> None:
@@ -67,8 +67,8 @@
             number += 1
             await asyncio.sleep(LOT_INTERVAL)
 
-    async def _send_on_kept_connections(self, stop_event: asyncio.Event) -> None:
-        """Sends lookups on one connection until it closes, then on the next entry's."""
+    async def _send_on_persistent_connections(self, stop_event: asyncio.Event) -> None:
+        """Sends lookups on one connection; if it closes, connects to the next entry."""
         number = 0
         while not stop_event.is_set():
             urls = self.harness.entry_urls
--- a/soak/_runner.py
+++ b/soak/_runner.py
@@ -38,7 +38,7 @@
 
 
 def run_seed_plan(plan: FaultPlan) -> SoakResult:
-    """Runs a plan on a new deployment, whose processes have all ended on return.
+    """Runs a plan on a new deployment and stops all its processes.
 
     Args:
         plan: The plan.
@@ -46,7 +46,7 @@
     Returns:
         The problems that were found, and the number of calls and samples.
     """
-    started = time.monotonic()
+    started_at = time.monotonic()
     result = SoakResult(plan.seed)
     harness = DeploymentHarness(
         engines=plan.engines,
@@ -62,7 +62,7 @@
     calls = harness.observations.calls
     result.calls = dict(Counter(call.error_code or str(call.status) for call in calls))
     result.samples = len(harness.observations.samples)
-    result.seconds = time.monotonic() - started
+    result.seconds = time.monotonic() - started_at
     return result
 
 
--- a/soak/_steps.py
+++ b/soak/_steps.py
@@ -169,10 +169,10 @@
             self.deployment.drain_started_at[domain] = time.time()
             await asyncio.sleep(step.seconds)
             async with self.deployment.change_lock:
-                name = ItemReference(kind="drain", name=domain)
+                reference = ItemReference(kind="drain", name=domain)
                 ended_at = time.time()
                 await asyncio.to_thread(
-                    lambda: self.harness.apply_change(remove=[name])
+                    lambda: self.harness.apply_change(remove=[reference])
                 )
             self.deployment.drain_intervals.append(
                 (domain, self.deployment.drain_started_at[domain], ended_at)
