--- a/examples/_caller_pool.py
+++ b/examples/_caller_pool.py
@@ -186,7 +186,7 @@
         try:
             response = await client.call("/v1/orders", body, idempotency_key=name)
         except BuckthornstileError as error:
-            # The order has run, so that only this verdict is false.
+            # The order has run, so the verdict NOT_RUN is false.
             self.statistics.false_refusals += error.verdict is Verdict.NOT_RUN
         else:
             self.statistics.wrong += not _is_echo(response.status, response.body, body)
--- a/examples/_report.py
+++ b/examples/_report.py
@@ -52,7 +52,7 @@
             self.add_problem(f"{name} is {value}")
 
     def add_problem(self, problem: str) -> None:
-        """Records a problem, with which the run fails."""
+        """Records a problem, which makes the run fail."""
         self.problems.append(problem)
 
     def print_summary(self) -> int:
--- a/examples/apply_sheet.py
+++ b/examples/apply_sheet.py
@@ -13,7 +13,7 @@
 
 
 def run_command(*arguments: str) -> tuple[int, dict[str, Any]]:
-    """Runs a command of the product and returns its exit status and JSON output."""
+    """Runs an operator's command and returns its exit status and JSON output."""
     command = [sys.executable, "-m", "buckthornstile", *arguments, "--json"]
     completed = subprocess.run(command, capture_output=True, text=True, check=False)
     return completed.returncode, json.loads(completed.stdout)
@@ -26,7 +26,7 @@
         The new keys in clear text, by name; no later command shows them again.
 
     Raises:
-        RuntimeError: The sheet was refused.
+        RuntimeError: The plan or the change failed.
     """
     flags = [f"--store_address={store}", f"--entries={entries}"]
     status, plan = run_command("config", "plan", sheet, flags[0])
@@ -41,8 +41,8 @@
         raise RuntimeError(applied["message"])
     behind = applied["in_force"]["behind"]
     print(f"revision {applied['revision']}, not yet in effect on {behind or 'none'}")
-    _, response = run_command("status", flags[1])
-    for url, state in response["entries"].items():
+    _, output = run_command("status", flags[1])
+    for url, state in output["entries"].items():
         upstreams = len(state["upstreams"])
         revision = state["configuration"]["revision"]
         print(f"{url} has revision {revision} and knows {upstreams} upstreams")
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,9 +1,10 @@
 """Runs a small deployment, checks its guarantees and prints a report.
 
 Run it with ``make demo``. It starts stand-ins of the store and of four workers, and two
-entries, in two failure domains. It uses them as operators, callers and a trainer do and
-ends with one line of JSON, whose fields are computed from what these received and from
-the stand-ins' journals. The exit status is zero only if there are no problems.
+entries, in two failure domains. It runs commands as an operator, and sends requests as
+callers and a trainer do. The last line is JSON, whose fields are computed from the
+responses and from the stand-ins' journals. The exit status is zero only if there are no
+problems.
 """
 
 import asyncio
@@ -40,12 +41,12 @@
 GROUP_COUNT, SAMPLES_PER_GROUP = 8, 8
 SAMPLE_TOKENS = 120
 MAXIMUM_AGE = 0  # versions
-UPDATE_AFTER_SAMPLES = 16
+UPDATE_AFTER_SAMPLES = 16  # samples before the trainer names the new version
 OLD_VERSION, NEW_VERSION = 1, 2
 TOKEN_SECONDS = 0.005  # seconds that an engine takes for a token
 CALLER_INTERVAL = 0.02  # seconds
 PROBE_INTERVAL = 0.02  # seconds
-REQUIRED_REFUSALS = 10
+REQUIRED_REFUSALS = 10  # in a row, until a key counts as refused
 UPDATE_POLL_INTERVAL = 0.1  # seconds
 LOT_TIMEOUT = 40.0  # seconds
 STEP_TIMEOUT = 20.0  # seconds
@@ -317,7 +318,7 @@
 
 
 def run_demo(report: Report) -> None:
-    """Runs the demo, whose processes have all ended on return.
+    """Runs the demo and stops all its processes.
 
     Args:
         report: The report that receives progress and results.
--- a/examples/tests/test_demo.py
+++ b/examples/tests/test_demo.py
@@ -54,10 +54,10 @@
 def test_demo_finds_no_problems_when_default_ports_are_occupied(occupied_ports):
     demo = start_demo()
     output, _ = demo.communicate(timeout=DEMO_TIMEOUT)
-    line = json.loads(output.splitlines()[-1])
+    summary = json.loads(output.splitlines()[-1])
     assert demo.returncode == 0, output.decode()
-    assert line["ok"]
-    assert line["samples_wanted"] == line["samples_delivered"] == 64
+    assert summary["ok"]
+    assert summary["samples_wanted"] == summary["samples_delivered"] == 64
     zero_fields = (
         "cut_requests",
         "keys_seen_upstream",
@@ -66,8 +66,10 @@
         "samples_doubled",
         "short_answers",
     )
-    assert {name: line[name] for name in zero_fields} == dict.fromkeys(zero_fields, 0)
-    assert line["calls"] > 100
+    assert {name: summary[name] for name in zero_fields} == dict.fromkeys(
+        zero_fields, 0
+    )
+    assert summary["calls"] > 100
     assert_no_process_left(demo)
 
 
@@ -75,7 +77,7 @@
 def test_interrupted_demo_leaves_no_process(signal_number):
     demo = start_demo()
     assert demo.stdout is not None
-    demo.stdout.readline()  # The first line is printed when all processes run.
+    demo.stdout.readline()  # printed after all processes have started
     demo.send_signal(signal_number)
     output, _ = demo.communicate(timeout=DEMO_TIMEOUT)
     assert json.loads(output.splitlines()[-1])["problems"] == ["interrupted"]
@@ -97,7 +99,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "labels", "errors"),
+    ("variant", "labels", "error_count"),
     [
         ("right", [(0, 1, 1), (2, 3, 2)], 0),
         ("right", [(0, 3, 2)], 1),
@@ -107,16 +109,18 @@
         ("none", [(0, 1, 1), (2, 3, 2)], 1),
     ],
 )
-def test_label_errors_are_counted(text, labels, errors):
+def test_label_errors_are_counted(variant, labels, error_count):
     body = json.dumps({"prompt": "p", "max_tokens": 4, "seed": 0})
     # The second run continues after the second event of the first.
     runs = [
         {"body": body, "headers": {}, "versions": [1, 1]},
         {"body": body, "headers": {"Last-Event-Id": "2"}, "versions": [2, 2]},
     ]
-    tokens = "\n".join(generate_tokens("p", 0, 4)) if text != "wrong" else "x"
-    journals = [runs[:1], [] if text == "none" else runs[1:]]
-    assert count_label_errors([make_sample(tokens, *labels)], LOT, journals) == errors
+    tokens = "\n".join(generate_tokens("p", 0, 4)) if variant != "wrong" else "x"
+    journals = [runs[:1], [] if variant == "none" else runs[1:]]
+    assert (
+        count_label_errors([make_sample(tokens, *labels)], LOT, journals) == error_count
+    )
 
 
 def test_stale_and_duplicate_samples_are_counted():
--- a/examples/tests/test_documents.py
+++ b/examples/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""The documents name only commands, make targets, files and errors that exist."""
+"""The documents match the code, and commands and public names describe themselves."""
 
 import re
 import shlex
--- a/examples/tests/test_examples.py
+++ b/examples/tests/test_examples.py
@@ -49,10 +49,10 @@
             await caller.stream_completion(client, "how to set a ripping blade"),
         ]
 
-    first, second, found, text = asyncio.run(run())
+    first, second, lookup_message, completion = asyncio.run(run())
     assert first == second == "order blade-7 was placed, status 200"
-    assert found.endswith("status 200")
-    assert len(text.split()) == 8
+    assert lookup_message.endswith("status 200")
+    assert len(completion.split()) == 8
     runs = deployment.workers["desk-1"].read_journal("run")
     assert [entry["path"] for entry in runs].count("/v1/orders") == 1
 
--- a/examples/trainer_loop.py
+++ b/examples/trainer_loop.py
@@ -39,7 +39,7 @@
 
 
 def train(samples: list[ReceivedSample], version: int) -> int:
-    """Takes the place of a training step and returns the new weight version."""
+    """Simulates a training step and returns the new weight version."""
     # The labels name the weight version that generated each token.
     assert all(sample.oldest_version >= version - 1 for sample in samples)
     return version + 1
