--- a/soak/_steps.py
+++ b/soak/_steps.py
@@ -187,7 +187,7 @@
         item = self.deployment.other_key_item.model_copy(update={"withdrawn": True})
         with contextlib.suppress(OSError):
             async with self.deployment.change_lock:
-                await asyncio.to_thread(self.harness.change, item)
+                await asyncio.to_thread(self.harness.apply_change, item)
             self.deployment.withdrawn_at = time.time()
 
     async def _do_version(self, step: FaultStep) -> None:
