--- a/buckthornstile/configuration/tests/memory_store.py
+++ b/buckthornstile/configuration/tests/memory_store.py
@@ -49,7 +49,7 @@
         self.offset = None
 
     def load_snapshot(self):
-        """Reads the latest records, which only the next call of ``read`` commits."""
+        """Applies the latest records; the next call of ``read`` commits them."""
         self.apply_snapshot(self.store.read_latest())
 
     def apply_snapshot(self, snapshot):
--- a/buckthornstile/configuration/tests/test_propagation.py
+++ b/buckthornstile/configuration/tests/test_propagation.py
@@ -51,6 +51,7 @@
         context.reader = TopicReader(context.store)
         records, end = context.store.read_latest()
         context.submit_items(Account(name="mill-0", weight=7.0))
+        # The snapshot contains the changed item, but not yet the summary of its change.
         latest = dict((key, one) for *one, key in map(move_key_last, records))
         for offset, key, value in context.store.read_latest()[0]:
             if key.startswith("item/"):
--- a/buckthornstile/duties/tests/test_model_loads.py
+++ b/buckthornstile/duties/tests/test_model_loads.py
@@ -69,6 +69,7 @@
             self.step()
 
     def count_servable(self, model: str, target_version: int) -> int:
+        """Counts the engines that are at most one version behind the target version."""
         return sum(
             versions[model] >= target_version - 1 for versions in self.versions.values()
         )
--- a/buckthornstile/duties/tests/test_usage_machine.py
+++ b/buckthornstile/duties/tests/test_usage_machine.py
@@ -226,8 +226,8 @@
 def test_seal_that_does_not_wait_for_counts_bills_too_little() -> None:
     """A window is over before the counts of the second process are published.
 
-    A seal that does not wait for them omits its request from the bill, which the
-    invariant must detect.
+    A seal that does not wait for them omits the second process's request from the
+    bill, which the invariant must detect.
     """
     outcomes = []
     for kind in (UsageMachine, UsageWithoutWaitMachine):
--- a/buckthornstile/jobs/_types.py
+++ b/buckthornstile/jobs/_types.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScoreCall:
-    """The request whose signature becomes an item's score."""
+    """A scoring request; the signature of its response becomes the item's score."""
 
     id: str
     host: str
--- a/buckthornstile/jobs/tests/test_table.py
+++ b/buckthornstile/jobs/tests/test_table.py
@@ -153,6 +153,7 @@
     table = apply_records(make_log([0]))
     job = table.find(JOB)
     assert job is not None
+    # A job is kept for EXPIRY_MARGIN_SECONDS (30 s) beyond the lifetime of 120 s.
     assert table.list_expired(5.0 + 120.0, 120.0) == []
     assert table.list_expired(5.0 + 151.0, 120.0) == [job]
     for key in sorted(job.keys):
--- a/buckthornstile/queueing/_fair_queue.py
+++ b/buckthornstile/queueing/_fair_queue.py
@@ -324,7 +324,7 @@
         return self._take(request_id)
 
     def charge(self, request_id: RequestId, cost: float) -> None:
-        """Corrects an account's share once the actual cost of an item is known.
+        """Corrects the work counted for an account once an item's actual cost is known.
 
         Args:
             request_id: Id of a popped request; other ids are ignored.
--- a/buckthornstile/queueing/_items.py
+++ b/buckthornstile/queueing/_items.py
@@ -16,7 +16,8 @@
         request_class: The request class, which sets the order of service.
         weight: The account's weight relative to other accounts.
         cost: The expected work in tokens.
-        slack: For a sample of a lot, seconds for which the lot can be delayed.
+        slack: Seconds for which the lot of a sample can be delayed; used only for
+            items of the class ``TRAINER``.
         deadline: Monotonic time in seconds after which the response is not needed.
 
     Example:
--- a/buckthornstile/queueing/tests/test_properties.py
+++ b/buckthornstile/queueing/tests/test_properties.py
@@ -23,8 +23,9 @@
 def measure_unfairness(push, pop, arrivals):
     """Returns the worst unfairness between two accounts while both have queued items.
 
-    Unfairness is the range of the difference between their served work, by weight,
-    divided by the bound of one largest item of each.
+    The work that an account has received is divided by the account's weight. The
+    difference between two accounts varies over time; unfairness is its maximum minus
+    its minimum, divided by the bound: the sum of one largest item of each account.
     """
     waiting = dict.fromkeys(WEIGHTS, 0)
     served = dict.fromkeys(WEIGHTS, 0.0)
--- a/buckthornstile/samples/_lines.py
+++ b/buckthornstile/samples/_lines.py
@@ -176,8 +176,8 @@
 
 @_to_envelope.register
 def _(line: SampleLine) -> dict[str, object]:
-    # The body is not converted, as it may contain a lone surrogate from an engine
-    # that splits a character.
+    # The body bypasses model_dump, whose JSON mode alters or rejects object keys with a
+    # lone surrogate. An engine that splits a character may send lone surrogates.
     fields = line.model_dump(mode="json", exclude={"body"})
     return {"sample": {**fields, "body": line.body}}
 
--- a/buckthornstile/samples/tests/test_lines.py
+++ b/buckthornstile/samples/tests/test_lines.py
@@ -1,4 +1,8 @@
-"""Tests that every JSON object from an engine reaches the trainer unchanged."""
+"""Tests of the lot stream's lines.
+
+JSON objects from an engine reach the trainer unchanged; malformed data and altered
+samples are rejected.
+"""
 
 import json
 
--- a/buckthornstile/topology/_view.py
+++ b/buckthornstile/topology/_view.py
@@ -39,7 +39,8 @@
     """The configuration, evacuations, target versions and upstreams in effect.
 
     The versions of the configuration and the target versions of the models never
-    decrease.
+    decrease. Evacuated failure domains come from single records in the store, drained
+    ones from the product's own configuration; neither kind receives new requests.
 
     Example:
         >>> view = TopologyView()
@@ -167,8 +168,8 @@
         Args:
             upstream_id: The upstream whose record was removed.
             now: The current time, in seconds.
-            until: Time until which the upstream stays in use, in seconds, for an
-                record that may have expired only because the store was unavailable.
+            until: Time until which the upstream stays in use, in seconds, if its
+                record may have expired only because the store was unavailable.
                 0 removes it at once.
         """
         if until and upstream_id in self.upstreams:
