--- a/buckthornstile/api/_deduplication.py
+++ b/buckthornstile/api/_deduplication.py
@@ -81,7 +81,8 @@
         Args:
             account: The client account.
             key: The idempotency key of the call. A key that the client library
-                generated is not claimed in the store, as no other process uses it.
+                generated is not claimed in the store: only one client process sends it,
+                and that process retries a non-idempotent call only if it was not run.
             work: Runs the call. An error with the verdict ``NOT_RUN`` releases the
                 call.
 
--- a/buckthornstile/consumers/tests/test_partition_consumer.py
+++ b/buckthornstile/consumers/tests/test_partition_consumer.py
@@ -15,8 +15,8 @@
 class FakeStore:
     """Serves snapshot pages of one record each.
 
-    Requests for the pages in ``fails_at`` fail, once per mention; as many reads as
-    ``pending_drops`` fail because the store dropped their records.
+    A page's requests fail as many times as its number occurs in ``fails_at``. The next
+    ``pending_drops`` reads fail because the store no longer has the records.
     """
 
     def __init__(self, fails_at=()):
--- a/buckthornstile/entry/_components.py
+++ b/buckthornstile/entry/_components.py
@@ -66,8 +66,8 @@
         resources: The shared resources of the entry.
         list_possibly_live: Returns the entries that may be sending requests now.
         on_change: Called after each change of the topology.
-        on_executed: Called when an upstream has executed a request, with its account
-            and the seconds since it started.
+        on_executed: Called when an upstream has executed a request, with the account
+            and the seconds that the execution took.
     """
     settings, view, pool = resources.settings, resources.view, resources.pool
     balancer = LoadBalancer(
--- a/buckthornstile/entry/tests/test_partition_assignment.py
+++ b/buckthornstile/entry/tests/test_partition_assignment.py
@@ -1,4 +1,4 @@
-"""Partitions that only some entries consume: forwarded requests, failed owners."""
+"""Partitions assigned to some of the entries: forwarded requests, killed entries."""
 
 import json
 
--- a/buckthornstile/gateway/_call_sender.py
+++ b/buckthornstile/gateway/_call_sender.py
@@ -25,14 +25,13 @@
 """Fraction of the target latency after which an idempotent request is also sent to a
 second upstream."""
 MAX_REFUSALS = 4
-"""Number of attempts that did not run the request, after which no further one is
-started."""
+"""Number of attempts that did not run the request, after which it is not retried."""
 REFUSAL_PAUSE = 0.05
 """Seconds for which an upstream that had no free slot is avoided."""
 RETRY_AFTER_SECONDS = 0.1
 """Seconds after which a client may retry a request that was not run."""
 FIRST_SERVER_ERROR_STATUS = 500
-"""HTTP status from which a response counts as the upstream's failure."""
+"""HTTP status from which a response to an idempotent request leads to a retry."""
 
 OnExecuted = Callable[[AccountId, float], None]
 
@@ -61,7 +60,7 @@
         pool: Connections to them.
         random_source: Source of randomness for the choice of a service.
         on_executed: Called when an upstream has run an account's request, with the
-            account and the seconds since the request was started.
+            account and the seconds that the execution took.
     """
 
     def __init__(
@@ -116,7 +115,8 @@
         failed_response: The last response with a server error, returned if no other
             attempt succeeds.
         last_error: The last error of an attempt.
-        can_hedge: Whether a further attempt may be started while one is running.
+        can_hedge: Whether hedges are allowed; False for a request that is not
+            idempotent, and after no upstream was available for a hedge.
     """
 
     def __init__(self, sender: CallSender, call: RoutedCall) -> None:
@@ -202,8 +202,9 @@
         )
         permit = balancer.acquire_permit(upstream)
         try:
-            # If a reused connection breaks before the response, the request may have
-            # run; so a request that must not run twice gets a new connection.
+            # The peer may close a reused connection just as the request is written.
+            # Whether the request ran is then unknown, and one that must not run twice
+            # could not be retried, so it gets a new connection.
             response = await self.sender.pool.send(
                 upstream.address,
                 outgoing,
--- a/buckthornstile/gateway/_usage_reporter.py
+++ b/buckthornstile/gateway/_usage_reporter.py
@@ -27,8 +27,7 @@
         wall_clock: Returns the seconds since the Unix epoch.
         due: Seconds after the end of a window within which it must be reported.
         list_pending_processes: Returns the processes that may still have counts to
-            publish, including those that cannot append yet after an outage of the
-            store.
+            publish, also if an outage of the store has delayed them.
     """
 
     def __init__(
@@ -94,5 +93,7 @@
             return
         record = SealRecord(seal.window, seal.counts, is_reported=True)
         log_event("usage.reported", window=seal.window, term=duty_state.term, age=age)
+        # Applied first, so that this lease holder does not report the window again if
+        # the append fails; the offset leaves ``end_offset`` unchanged.
         duty_state.apply(duty_state.end_offset - 1, record)
         await self.lease_manager.append(record)
--- a/buckthornstile/http_client/_connection_pool.py
+++ b/buckthornstile/http_client/_connection_pool.py
@@ -37,7 +37,8 @@
 NO_LINGER = struct.pack("ii", 1, 0)
 """``SO_LINGER`` on, with a timeout of zero: closing resets the connection."""
 
-# The caller counts and logs responses that cannot be parsed.
+# Suppresses Tornado's log lines about responses that cannot be parsed: the caller logs
+# the failed request.
 logging.getLogger("tornado.general").setLevel(logging.CRITICAL)
 
 
--- a/buckthornstile/platform/_store_records.py
+++ b/buckthornstile/platform/_store_records.py
@@ -100,7 +100,7 @@
 
 
 def decode_named_version(value: bytes) -> tuple[ModelName, int]:
-    """Decodes the record in which a trainer sets the version of a model to load.
+    """Decodes a trainer's record that names the version to load of a model.
 
     Raises:
         ValueError: The record is malformed.
@@ -118,7 +118,7 @@
     """Decodes the registration record that an upstream writes.
 
     The record's ``sequence`` counts the records that the upstream has written, not the
-    orders that it has accepted.
+    load orders that it has accepted.
 
     Args:
         upstream_id: The upstream's id, which is the record's key and not in its value.
